--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -18,15 +18,17 @@
 use tidestair::gateway::cold::ColdBounds;
 use tidestair::gateway::core::{Bounds, Gateway};
 use tidestair::gateway::fingerprint::Fingerprint;
-use tidestair::gateway::heartbeat::{Heartbeat, Origin, Sum, Told};
+use tidestair::gateway::heartbeat::{DaemonStats, Heartbeat, Origin, Sum};
 use tidestair::gateway::mirror::Mirror;
 use tidestair::gateway::partner::{Pace, Relation};
-use tidestair::gateway::place::{ALIKE, Candidate, Headroom, Need, Placing, UNSEEN_COST};
+use tidestair::gateway::place::{
+    ALIKE, Candidate, Headroom, PlacementRequest, Placing, UNSEEN_COST,
+};
 use tidestair::gateway::port::{Change, Entry};
 use tidestair::gateway::quarantine::{Quarantine, Run};
 use tidestair::gateway::regions::Regions;
 use tidestair::gateway::roster::{Daemon, Listing, Roster};
-use tidestair::gateway::servers::{Load, ServerRecord, Servers, Signs};
+use tidestair::gateway::servers::{Load, Observations, ServerRecord, Servers};
 use tidestair::gateway::table::Engine;
 use tidestair::gateway::tag::Tag;
 use tidestair::gateway::view::{Own, View};
@@ -212,7 +214,7 @@
 }
 
 fn choice(servers: &Servers) -> f64 {
-    let need = Need {
+    let need = PlacementRequest {
         hall: "hall-0",
         far: UNSEEN_COST,
         alike: ALIKE,
@@ -238,7 +240,7 @@
 fn own_words(servers: &Servers) -> f64 {
     micros(500, || {
         let now = Instant::now();
-        black_box((servers.own_loads(), servers.own_outcomes(now), servers.signs(now)));
+        black_box((servers.own_loads(), servers.own_outcomes(now), servers.observations(now)));
     })
 }
 
@@ -255,17 +257,17 @@
 }
 
 /// What `count` daemons have running, spread over so many servers.
-fn told(first: usize, count: usize, servers: usize) -> Told {
+fn told(first: usize, count: usize, servers: usize) -> DaemonStats {
     let at = |n: usize| Tag::of(&id(n % servers));
     let loads: BTreeMap<Tag, Load> =
         (0..count * OWN).map(|n| (at(first * 7 + n * 13), LOAD)).collect();
-    Told { loads: loads.into_iter().collect(), ..Told::default() }
+    DaemonStats { loads: loads.into_iter().collect(), ..DaemonStats::default() }
 }
 
 fn heartbeat(
     from: &Daemon,
     view: &View,
-    told: Told,
+    told: DaemonStats,
     sums: Vec<Sum>,
     stamp: u64,
     now: Instant,
@@ -280,13 +282,13 @@
         ready: true,
         pause_ms: 250,
         chosen: true,
-        statement: None,
+        copy_status: None,
         read_ms: None,
         failed_ms: None,
         cell: cell_of(from, view),
-        told,
+        stats: told,
         sums,
-        signs: Signs::default(),
+        observations: Observations::default(),
         others: Vec::new(),
     }
 }
--- a/src/caller.rs
+++ b/src/caller.rs
@@ -8,7 +8,7 @@
 use crate::outcome::{Failure, Outcome, Reason};
 use crate::pool::Pool;
 use crate::prompt::{self, Prompt};
-use crate::reader::{DEPTH, EventReader, WholeReader};
+use crate::reader::{CompleteReader, DEPTH, EventReader};
 use crate::relay::{End, Job, Relay};
 use crate::resource::{Delivery, ExperimentSpec, TrafficClassSpec, Unit, WorkspaceSpec};
 use crate::seal::{GenerationId, Position};
@@ -299,7 +299,7 @@
     let relay = generation.relay();
     let position = generation.position();
     let Generation { caller, job, head, counted: _counted, .. } = generation;
-    let mut reader = WholeReader::default();
+    let mut reader = CompleteReader::default();
     let ended = relay.run(job, &mut reader).await;
     let metrics = &caller.app.metrics;
     match ended {
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -2,9 +2,9 @@
 
 use crate::adapter::{NOT_STARTED, request};
 use crate::backends::{Backends, Call};
-use crate::claim::{ClaimAsk, ClaimKey, Claimed, Kept, Nonce};
+use crate::claim::{ClaimAsk, ClaimKey, Claimed, Nonce, StoredAnswer};
 use crate::gossip::Gossip;
-use crate::journal::KEPT_BYTES;
+use crate::journal::MAX_STORED_ANSWER_BYTES;
 use crate::outcome::{Failure, NotSent, Reason};
 use crate::time;
 use crate::wire::{Answer, Fault, Wire};
@@ -118,7 +118,7 @@
     let asked = time::now();
     match gossip.claim(claim).await {
         Claimed::Yours => {}
-        Claimed::Settled(kept) => return kept_answer(kept),
+        Claimed::Settled(kept) => return replay_answer(kept),
         Claimed::Taken => return Err(Failure::unknown(taken())),
         Claimed::Mismatch => return Err(Failure::not_run(proof, mismatch())),
         Claimed::Unavailable => return Err(unclaimed(proof, key.first, no_platform())),
@@ -148,10 +148,10 @@
     Failure::unknown(Reason { message, ..reason })
 }
 
-fn kept(answer: &ServiceAnswer) -> Kept {
-    let omitted = answer.body.len() > KEPT_BYTES;
+fn kept(answer: &ServiceAnswer) -> StoredAnswer {
+    let omitted = answer.body.len() > MAX_STORED_ANSWER_BYTES;
     let body = if omitted { Vec::new() } else { answer.body.to_vec() };
-    Kept { status: answer.status.as_u16(), body, omitted }
+    StoredAnswer { status: answer.status.as_u16(), body, omitted }
 }
 
 async fn attempt_at(wire: &Wire, held: &Call, call: &ServiceCall, proof: NotSent) -> Tried {
@@ -195,7 +195,7 @@
     }
 }
 
-fn kept_answer(kept: Kept) -> Result<ServiceAnswer, Failure> {
+fn replay_answer(kept: StoredAnswer) -> Result<ServiceAnswer, Failure> {
     if kept.omitted {
         let message =
             "the call ran, and its answer was too large to keep; ask the service for its result";
--- a/src/claim.rs
+++ b/src/claim.rs
@@ -19,7 +19,7 @@
 
 /// A kept answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
     /// Body, where it is small enough.
@@ -36,7 +36,7 @@
     /// Another claim stands and has no outcome yet.
     Taken,
     /// It ran; this is its outcome.
-    Settled(Kept),
+    Settled(StoredAnswer),
     /// The key was used with another body.
     Mismatch,
     /// The platform's service cannot say now; nothing was claimed for this caller.
--- a/src/client.rs
+++ b/src/client.rs
@@ -284,7 +284,7 @@
                 req.headers_mut().insert(*name, value.parse().expect("ascii"));
             }
             match self.wire.send(entry, req, NotSent::begin(), HEAD_LIMIT).await {
-                Ok(answer) => return whole_call(answer).await,
+                Ok(answer) => return read_call(answer).await,
                 Err(Fault::NotSent(_)) => {
                     self.avoid(entry, time::now());
                     sleep(BACKOFF).await;
@@ -307,7 +307,7 @@
     }
 }
 
-async fn whole_call(answer: Answer) -> Called {
+async fn read_call(answer: Answer) -> Called {
     let status = answer.status.as_u16();
     let outcome = told(&answer);
     match answer.whole(MOST_BODY, HEAD_LIMIT).await {
--- a/src/follow.rs
+++ b/src/follow.rs
@@ -96,7 +96,7 @@
     }
 
     /// Takes everything from a peer, if it is newer.
-    pub fn take_whole(&self, revision: u64, items: Vec<Item>) {
+    pub fn replace_all(&self, revision: u64, items: Vec<Item>) {
         let entry = |i: Item| Some(Entry { key: i.key, value: i.value?, revision: i.revision });
         let entries: Vec<Entry> = items.into_iter().filter_map(entry).collect();
         self.take(Snapshot::from_entries(&entries, revision));
@@ -119,7 +119,7 @@
             return Reply::Changes(changes.into_iter().map(item).collect());
         }
         let item = |e: Entry| Item { key: e.key, value: Some(e.value), revision: e.revision };
-        Reply::Whole {
+        Reply::Snapshot {
             revision: current.revision,
             items: current.to_entries().into_iter().map(item).collect(),
         }
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -28,9 +28,9 @@
 const WAITING_PER_MS_RETURNED: f64 = 3.0;
 /// Part of a server's memory that its runs may need at their longest, for a newcomer: what it takes itself, a
 /// sixth of the memory where engines are small, then still fits.
-const MEMORY_PART: f64 = 0.85;
+const MEMORY_FRACTION: f64 = 0.85;
 /// The same for a caller that was refused before.
-const MEMORY_PART_RETURNED: f64 = 1.0;
+const MEMORY_FRACTION_RETURNED: f64 = 1.0;
 /// Tokens of prompts that a crowded engine reads in a millisecond: 112 in a step of some 16 ms, beside its
 /// runs.
 const READ_PER_MS: f64 = 6.0;
@@ -49,7 +49,7 @@
 
 /// How a request stands to those that wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum AdmissionClass {
     /// Its caller comes for the first time.
     Newcomer,
     /// Its caller, or a server, was refused before.
@@ -58,12 +58,12 @@
     Begun,
 }
 
-impl Standing {
+impl AdmissionClass {
     /// The standing of a caller that has so much of its route's time left.
-    pub fn of(left: Duration, whole: Duration) -> Standing {
+    pub fn of(left: Duration, whole: Duration) -> AdmissionClass {
         match whole.saturating_sub(left) >= SPENT_BEFORE {
-            true => Standing::Returned,
-            false => Standing::Newcomer,
+            true => AdmissionClass::Returned,
+            false => AdmissionClass::Newcomer,
         }
     }
 }
@@ -82,11 +82,11 @@
     pub const NONE: Bound = Bound { waiting: f64::INFINITY, memory: f64::INFINITY };
 
     /// The bound for such a request, where its service aims at `aim`.
-    pub fn of(aim: Duration, engine: &Engine, standing: Standing) -> Bound {
-        let (per_ms, part) = match standing {
-            Standing::Newcomer => (WAITING_PER_MS, MEMORY_PART),
-            Standing::Returned => (WAITING_PER_MS_RETURNED, MEMORY_PART_RETURNED),
-            Standing::Begun => return Bound::NONE,
+    pub fn of(aim: Duration, engine: &Engine, admission_class: AdmissionClass) -> Bound {
+        let (per_ms, part) = match admission_class {
+            AdmissionClass::Newcomer => (WAITING_PER_MS, MEMORY_FRACTION),
+            AdmissionClass::Returned => (WAITING_PER_MS_RETURNED, MEMORY_FRACTION_RETURNED),
+            AdmissionClass::Begun => return Bound::NONE,
         };
         let waiting = aim.as_secs_f64() * 1_000.0 * per_ms;
         Bound { waiting, memory: f64::from(engine.memory) * part }
--- a/src/gateway/announce.rs
+++ b/src/gateway/announce.rs
@@ -32,7 +32,7 @@
 /// Longest pause before a key that the store has lost is written again: a fleet's daemons find that out together.
 const LOST: Duration = Duration::from_secs(2);
 /// Part of a pause that is drawn at random, so that daemons which started together don't call together.
-const DRAWN_PART: f64 = 0.3;
+const DRAWN_FRACTION: f64 = 0.3;
 
 /// Keeps the key while the daemon serves, then takes it away.
 pub async fn run(
@@ -106,7 +106,7 @@
 
 /// A pause with a part of it drawn at random.
 fn drawn(pause: Duration) -> Duration {
-    pause.mul_f64(rand::rng().random_range(1.0 - DRAWN_PART..=1.0))
+    pause.mul_f64(rand::rng().random_range(1.0 - DRAWN_FRACTION..=1.0))
 }
 
 /// Renews the lease, or opens one and writes the key under it.
--- a/src/gateway/budget.rs
+++ b/src/gateway/budget.rs
@@ -15,7 +15,7 @@
 
 /// Part of the allowance that is used; the rest is for what several daemons spend in the same moment,
 /// and for restarted daemons, which forget what they spent.
-const USED_PART: f64 = 0.7;
+const USED_FRACTION: f64 = 0.7;
 /// Requests within a window that are assumed of each daemon besides those counted: where few have come, as after
 /// a start, daemons have equal parts.
 const ASSUMED_REQUESTS: f64 = 3.0;
@@ -186,7 +186,7 @@
         let requests = f64::from(own.requests + told.requests);
         let slack = bounds.slack * (1.0 - unheard / all);
         let spent = f64::from(own.repeats + told.repeats + 1);
-        spent <= (bounds.ratio * requests + slack) * USED_PART * repeat.part()
+        spent <= (bounds.ratio * requests + slack) * USED_FRACTION * repeat.part()
     }
 
     /// Requests for a service a second, of all daemons that are heard.
@@ -223,7 +223,7 @@
     }
 
     /// The same for all daemons of this one's cell together.
-    pub fn cell_part(&mut self, service: &Arc<str>, now: Instant) -> f64 {
+    pub fn cell_fraction(&mut self, service: &Arc<str>, now: Instant) -> f64 {
         let tag = Tag::of(service);
         let told = |spent: &HashMap<Tag, Spent>| spent.get(&tag).map_or(0, |spent| spent.requests);
         let (told, near) = (told(&self.others.spent), told(&self.others.near.spent));
--- a/src/gateway/cluster.rs
+++ b/src/gateway/cluster.rs
@@ -8,17 +8,17 @@
 //! tell sums.
 
 mod answering;
-mod room;
+mod quota;
 
 use crate::error::Result;
 use crate::gateway::clock::{Clock, before, millis};
 use crate::gateway::core::{Gateway, Hearing, Wanted};
-use crate::gateway::heartbeat::{Heartbeat, Request, Told};
+use crate::gateway::heartbeat::{DaemonStats, Heartbeat, Request};
 use crate::gateway::metrics::GatewayMetrics;
 use crate::gateway::mirror::Mirror;
 use crate::gateway::partner::{Pace, Relation, Stretch};
 use crate::gateway::roster::Roster;
-use crate::gateway::servers::{Heard, Load};
+use crate::gateway::servers::{Load, PeerStats};
 use crate::gateway::start;
 use crate::gateway::tag::Tag;
 use crate::gateway::update::{Lack, Update};
@@ -53,7 +53,7 @@
 /// store still reads within two seconds.
 const LONGEST_TURN: Duration = Duration::from_millis(1_000);
 /// Time that news of a read takes through other cells: a heartbeat between cells and one within.
-const TOLD_LATE: Duration = Duration::from_millis(550);
+const REPORT_DELAY: Duration = Duration::from_millis(550);
 /// Time after which a daemon that knows that its copy is behind reads the store itself: its peers
 /// may have no bandwidth for a large change.
 const BEHIND: Duration = Duration::from_millis(250);
@@ -184,7 +184,7 @@
             return now.saturating_duration_since(since) > READ_LATELY + turn;
         }
         let turn = READ_STEP.saturating_mul(u32::try_from(before).unwrap_or(u32::MAX));
-        let told_late = if view.layout().divided { TOLD_LATE } else { Duration::ZERO };
+        let told_late = if view.layout().divided { REPORT_DELAY } else { Duration::ZERO };
         let lately = READ_LATELY + told_late + turn.min(LONGEST_TURN);
         read.is_none_or(|read| now.saturating_duration_since(read) > lately)
     }
@@ -255,7 +255,7 @@
         let (in_need, resting) = {
             let mut servers = self.gateway.servers();
             servers.tidy(now);
-            (servers.count_in_need(), servers.count_resting())
+            (servers.count_limited(), servers.count_backing_off())
         };
         let metrics = self.metrics();
         metrics.limited_servers.set(in_need as i64);
@@ -319,8 +319,8 @@
     }
 
     async fn talk(self: &Arc<Self>, addr: SocketAddr, handler: &Arc<dyn Handler>) {
-        let (mut news, mut loads) = (self.gateway.news(), self.gateway.load_news());
-        let mut copy = self.gateway.copy_news();
+        let (mut news, mut loads) = (self.gateway.news(), self.gateway.load_changes());
+        let mut copy = self.gateway.copy_changes();
         let mut pace = Pace::default();
         loop {
             let now = time::now();
@@ -376,13 +376,16 @@
             let (loads, outcomes) = (servers.own_loads(), servers.own_outcomes(now));
             let tallies = rollouts.tallies.into_iter().collect();
             let orders = rollouts.ages.into_iter().collect();
-            (Told { loads, spent, outcomes, evidence, tallies, orders }, servers.signs(now))
+            (
+                DaemonStats { loads, spent, outcomes, evidence, tallies, orders },
+                servers.observations(now),
+            )
         };
         let own = Own { told, ready: (self.ready)() };
         Heartbeat {
-            statement: self.mirror.statement(now),
+            copy_status: self.mirror.copy_status(now),
             failed_ms: self.mirror.last_failure().map(|at| millis(at, now)),
-            signs,
+            observations: signs,
             ..view.heartbeat(to, relation, own, pace, now)
         }
     }
@@ -395,10 +398,10 @@
             view.clock().sent(heartbeat.echo, now)
         };
         self.unheard.store(true, Ordering::Release);
-        self.gateway.servers().take_signs(&heartbeat.signs, sent, now);
+        self.gateway.servers().merge_observations(&heartbeat.observations, sent, now);
         self.hear_of_store(&heartbeat, sent, now);
         self.named.lock().expect("no holder panics").extend(heartbeat.others);
-        let Some(statement) = heartbeat.statement else {
+        let Some(statement) = heartbeat.copy_status else {
             return;
         };
         let seen = sent.and_then(|sent| before(sent, statement.age_ms));
@@ -461,8 +464,8 @@
         };
         let update = given?;
         // Before this process's clock began, nothing can have been seen.
-        let seen =
-            before(asked, update.statement.age_ms).unwrap_or_else(|| self.view().clock().started());
+        let seen = before(asked, update.copy_status.age_ms)
+            .unwrap_or_else(|| self.view().clock().started());
         let complete = update.complete;
         self.mirror.apply(update, seen, time::now());
         if complete {
@@ -483,7 +486,7 @@
 }
 
 impl Hearing for Cluster {
-    fn heard(&self, now: Instant) -> Option<Heard> {
+    fn heard(&self, now: Instant) -> Option<PeerStats> {
         self.unheard.swap(false, Ordering::AcqRel).then(|| self.view().heard(now))
     }
 
@@ -491,8 +494,8 @@
         self.view().ahead(server, now)
     }
 
-    fn borrow_room(&self, wanted: Vec<Wanted>) -> BoxFuture<'_, Option<Tag>> {
-        Box::pin(self.ask_for_room(wanted))
+    fn borrow_quota(&self, wanted: Vec<Wanted>) -> BoxFuture<'_, Option<Tag>> {
+        Box::pin(self.request_quota(wanted))
     }
 }
 
--- a/src/gateway/cluster/answering.rs
+++ b/src/gateway/cluster/answering.rs
@@ -18,7 +18,7 @@
     /// Small values that a copy at `position` lacks. A copy that lacks everything waits its turn.
     async fn give_small(&self, position: Position, held: &mut Held) {
         let now = time::now();
-        match self.0.mirror.update_after(position, now).filter(|update| !update.whole) {
+        match self.0.mirror.update_after(position, now).filter(|update| !update.full) {
             Some(update) => send(Some(update), held).await,
             None => self.give_all(position, held).await,
         }
@@ -55,7 +55,7 @@
                 Ok(Request::After(position)) => self.give_small(position, &mut held).await,
                 Ok(Request::AllAfter(position)) => self.give_all(position, &mut held).await,
                 Ok(Request::Room(wanted)) => {
-                    let given = self.0.gateway.lend_room(&wanted, time::now());
+                    let given = self.0.gateway.lend_quota(&wanted, time::now());
                     if held.send(&given).await.is_ok() {
                         held.finish().await;
                     }
--- a/src/gateway/cluster/room.rs
+++ b/src/gateway/cluster/quota.rs
@@ -15,9 +15,9 @@
 use tokio::time::timeout;
 
 /// Longest time for a peer to give room at a server in need: some times a round trip within a region.
-const ROOM_LIMIT: Duration = Duration::from_millis(40);
+const QUOTA_TIMEOUT: Duration = Duration::from_millis(40);
 /// Longest time for all that are asked, one after the other. The caller waits for it, and is refused otherwise.
-const ALL_ROOM_LIMIT: Duration = Duration::from_millis(120);
+const TOTAL_QUOTA_TIMEOUT: Duration = Duration::from_millis(120);
 /// Peers of the same cell that are asked for room at most, one after the other: all others of a small fleet. Where
 /// half of what a server names comes, about two thirds of those that hold room have some.
 const MOST_ASKED: usize = 5;
@@ -29,8 +29,8 @@
 
 impl Cluster {
     /// Asks them, within a time that a caller may wait. What one of them gives later goes unused.
-    pub(super) async fn ask_for_room(&self, wanted: Vec<Wanted>) -> Option<Tag> {
-        timeout(ALL_ROOM_LIMIT, self.ask_lenders(wanted)).await.unwrap_or(None)
+    pub(super) async fn request_quota(&self, wanted: Vec<Wanted>) -> Option<Tag> {
+        timeout(TOTAL_QUOTA_TIMEOUT, self.ask_lenders(wanted)).await.unwrap_or(None)
     }
 
     async fn ask_lenders(&self, wanted: Vec<Wanted>) -> Option<Tag> {
@@ -38,7 +38,7 @@
         let servers: Vec<Tag> = wanted.iter().map(|w| w.server).collect();
         for peer in self.lenders(&wanted, time::now()) {
             let request = Request::Room(servers.clone());
-            let asked = self.links.ask::<Option<Tag>>(peer, &request, ROOM_LIMIT, &handler);
+            let asked = self.links.ask::<Option<Tag>>(peer, &request, QUOTA_TIMEOUT, &handler);
             match asked.await {
                 Ok(Some(server)) => return Some(server),
                 Ok(None) => {}
--- a/src/gateway/cold.rs
+++ b/src/gateway/cold.rs
@@ -16,10 +16,10 @@
 const SECOND: Duration = Duration::from_secs(1);
 /// Part of the bound that is used. The rest is for requests that were sent within more than a second and
 /// arrive within one, and for daemons that differ for a moment about who they are.
-const USED_PART: f64 = 0.7;
+const USED_FRACTION: f64 = 0.7;
 /// Time for which a server may be cold before its entry says so, and for which an entry says so too late:
 /// servers write every 1.2 s, and the store's word takes up to 0.8 s.
-const TOLD_LATE: Duration = Duration::from_millis(2_000);
+const REPORT_DELAY: Duration = Duration::from_millis(2_000);
 
 /// How servers of a service warm up.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
@@ -72,7 +72,7 @@
 impl Rank {
     /// Requests a second that this daemon may send to a cold server: its part of what all together may.
     pub fn share(self, server: Tag, warm_up: WarmUp, bounds: ColdBounds) -> usize {
-        let all = (warm_up.rate * bounds.excess + bounds.slack) * USED_PART;
+        let all = (warm_up.rate * bounds.excess + bounds.slack) * USED_FRACTION;
         let all = all as usize;
         let daemons = self.daemons.max(1);
         let place = self.place(server);
@@ -134,7 +134,7 @@
         if !warm_up.is_any() {
             return false;
         }
-        let lately = |at: Instant| now.saturating_duration_since(at) < warm_up.time + TOLD_LATE;
+        let lately = |at: Instant| now.saturating_duration_since(at) < warm_up.time + REPORT_DELAY;
         self.missed || self.until.is_some_and(|until| now < until) || self.since.is_some_and(lately)
     }
 }
--- a/src/gateway/condition.rs
+++ b/src/gateway/condition.rs
@@ -5,7 +5,7 @@
 //! [`Condition`] of that start, for as long as it may serve: longer than the store lists it.
 
 use crate::gateway::cold::Cold;
-use crate::gateway::limit::{Limit, LimitWord};
+use crate::gateway::limit::{Limit, LimitRemark};
 use std::time::{Duration, Instant};
 
 /// What one answer says of its server.
@@ -14,16 +14,16 @@
     /// It is about to leave.
     pub leaving: bool,
     /// It wants nothing more from this daemon for so long.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
     /// Requests a second that it takes from all daemons together.
-    pub limit: LimitWord,
+    pub limit: LimitRemark,
     /// It stays cold for so long.
     pub cold: Option<Duration>,
 }
 
 /// A time for which a server wants nothing from this daemon. It binds no other daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Rest {
+pub struct Backoff {
     /// When the server asked for it.
     pub asked: Instant,
     /// When it is over.
@@ -35,7 +35,7 @@
 pub struct Condition {
     /// Since when it is known to leave by its own word; never taken back.
     leaving: Option<Instant>,
-    rest: Option<Rest>,
+    backoff: Option<Backoff>,
     /// What it takes from all daemons together, and what this one may send.
     pub(super) limit: Limit,
     /// Whether it is cold, as far as known.
@@ -52,20 +52,20 @@
 
     /// It wants nothing for so long, counted from its answer. A rest that ends later still holds: an answer may
     /// have been longer on its way than the one after it. Says whether the rest is longer by this.
-    pub(super) fn rests(&mut self, time: Duration, now: Instant) -> bool {
+    pub(super) fn extend_backoff(&mut self, time: Duration, now: Instant) -> bool {
         let Some(until) = now.checked_add(time) else {
             return false;
         };
-        let is_longer = until > self.rest.map_or(now, |rest| rest.until);
+        let is_longer = until > self.backoff.map_or(now, |rest| rest.until);
         if is_longer {
-            self.rest = Some(Rest { asked: now, until });
+            self.backoff = Some(Backoff { asked: now, until });
         }
         is_longer
     }
 
     /// Whether it has said anything that outlasts the store's entry of it.
     pub(super) fn says_anything(&self) -> bool {
-        self.leaving.is_some() || self.rest.is_some() || self.limit.rate().is_some()
+        self.leaving.is_some() || self.backoff.is_some() || self.limit.rate().is_some()
     }
 
     /// Since when it is known to leave by its own word.
@@ -74,7 +74,7 @@
     }
 
     /// Its rest, while it lasts.
-    pub fn rest(&self, now: Instant) -> Option<Rest> {
-        self.rest.filter(|rest| now < rest.until)
+    pub fn backoff(&self, now: Instant) -> Option<Backoff> {
+        self.backoff.filter(|rest| now < rest.until)
     }
 }
--- a/src/gateway/core.rs
+++ b/src/gateway/core.rs
@@ -12,7 +12,7 @@
 use crate::gateway::request::Call;
 use crate::gateway::rollout::Rollouts;
 use crate::gateway::roster::Roster;
-use crate::gateway::servers::{Heard, Load, Server, ServerKey, Servers};
+use crate::gateway::servers::{Load, PeerStats, Server, ServerKey, Servers};
 use crate::gateway::table::{Homes, Service};
 use crate::gateway::tag::Tag;
 use crate::time;
@@ -39,14 +39,14 @@
 
 /// Part of the bound on revoked keys up to which a confirmation counts. The rest is for the time
 /// between this check and the moment a backend server begins to work.
-const FRESH_PART: f64 = 0.7;
+const FRESH_FRACTION: f64 = 0.7;
 
 /// Time before the end of the process by which answers should be complete.
 const LAST_ANSWER: Duration = Duration::from_millis(500);
 
 /// Tokens of a request from which its beginning and end are told to other daemons at once. What is
 /// smaller, as a plain service's requests are, goes with the next heartbeat.
-const TOLD_TOKENS: u32 = 100;
+const REPORTED_TOKENS: u32 = 100;
 
 /// Daemons of a region that a caller is told of though this one does not hear them: as many as an answer
 /// may name.
@@ -56,12 +56,12 @@
 /// often as requests, and to add up what hundreds of daemons told of thousands of servers takes 0.5 ms.
 pub trait Hearing: Send + Sync {
     /// What the others have running; `None` where nothing has come since it was last asked for.
-    fn heard(&self, now: Instant) -> Option<Heard>;
+    fn heard(&self, now: Instant) -> Option<PeerStats>;
     /// What the daemons of the same cell that rank before this one have running at a server.
     fn ahead(&self, server: Tag, now: Instant) -> Load;
     /// Asks other daemons for room for one request at one of these servers, which are in need. Says at
     /// which one it was given.
-    fn borrow_room(&self, wanted: Vec<Wanted>) -> BoxFuture<'_, Option<Tag>>;
+    fn borrow_quota(&self, wanted: Vec<Wanted>) -> BoxFuture<'_, Option<Tag>>;
 }
 
 /// A server at which room for a request is wanted.
@@ -95,7 +95,7 @@
     quarantine: Mutex<Quarantine>,
     pub(super) rollouts: Mutex<Rollouts>,
     /// Tells that a roll-out was ordered or has come further.
-    pub(super) rollout_news: Notify,
+    pub(super) rollout_changed: Notify,
     exposure: Mutex<f64>,
     /// Room at servers in need that was promised, by service.
     promises: Mutex<HashMap<Arc<str>, Promises>>,
@@ -116,7 +116,7 @@
     /// Tells that work went to a server.
     pub(super) work: Notify,
     /// Tells that a request may be kept back from now on.
-    pub(super) quarantine_news: Notify,
+    pub(super) quarantine_changed: Notify,
     /// Turns of this daemon's own runs that move away from a server.
     turns: Mutex<HashMap<ServerKey, Weak<Semaphore>>>,
 }
@@ -145,7 +145,7 @@
             budget: Mutex::new(RepeatBudget::new(bounds.budget, now)),
             quarantine: Mutex::default(),
             rollouts: Mutex::default(),
-            rollout_news: Notify::new(),
+            rollout_changed: Notify::new(),
             exposure: Mutex::new(bounds.exposure),
             promises: Mutex::default(),
             divided: AtomicBool::new(false),
@@ -156,7 +156,7 @@
             era: watch::Sender::new(0),
             load_news: watch::Sender::new(0),
             work: Notify::new(),
-            quarantine_news: Notify::new(),
+            quarantine_changed: Notify::new(),
             turns: Mutex::default(),
         })
     }
@@ -228,7 +228,7 @@
 
     /// What this daemon has running has changed.
     pub(super) fn tell_load(&self, load: Load) {
-        if load.tokens >= TOLD_TOKENS {
+        if load.tokens >= REPORTED_TOKENS {
             self.load_news.send_modify(|count| *count += 1);
         }
     }
@@ -245,12 +245,12 @@
     }
 
     /// Tells when the store comes back from an older copy of itself.
-    pub fn era_news(&self) -> watch::Receiver<u64> {
+    pub fn era_changes(&self) -> watch::Receiver<u64> {
         self.era.subscribe()
     }
 
     /// Tells of changes of this daemon's copy of the store.
-    pub fn copy_news(&self) -> watch::Receiver<u64> {
+    pub fn copy_changes(&self) -> watch::Receiver<u64> {
         self.copy_news.subscribe()
     }
 
@@ -266,7 +266,7 @@
     }
 
     /// Tells of changes of what this daemon has running that others should hear soon.
-    pub fn load_news(&self) -> watch::Receiver<u64> {
+    pub fn load_changes(&self) -> watch::Receiver<u64> {
         self.load_news.subscribe()
     }
 
@@ -310,7 +310,7 @@
             return false;
         };
         let bound = *self.revoke.lock().expect("no holder panics");
-        bound.is_none_or(|bound| age <= bound.mul_f64(FRESH_PART))
+        bound.is_none_or(|bound| age <= bound.mul_f64(FRESH_FRACTION))
     }
 
     /// Whether the caller of a request still holds its key, as far as may be relied on now.
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -89,7 +89,7 @@
     async fn read(&mut self, asked: Instant) -> PlatformResult<bool> {
         let after = self.mirror.position();
         if after.is_start() {
-            return self.read_whole(asked).await;
+            return self.read_all(asked).await;
         }
         match self.overtake(self.store.changes(EVERYTHING, after, WAIT)).await? {
             Some(changes) => {
@@ -100,12 +100,12 @@
             }
             None => {
                 info!(after = after.revision, era = after.era; "the store's history is gone; reading everything again");
-                self.read_whole(asked).await
+                self.read_all(asked).await
             }
         }
     }
 
-    async fn read_whole(&mut self, asked: Instant) -> PlatformResult<bool> {
+    async fn read_all(&mut self, asked: Instant) -> PlatformResult<bool> {
         let Some(all) = self.overtake(Box::pin(self.read_pages())).await? else {
             return Ok(false);
         };
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -1,8 +1,8 @@
 //! A request's way: place, send, follow, send again where that is allowed, answer.
 
-use crate::gateway::admission::{self, Standing};
+use crate::gateway::admission::{self, AdmissionClass};
 use crate::gateway::core::Gateway;
-use crate::gateway::need::IN_NEED;
+use crate::gateway::limited::SERVERS_IN_NEED;
 use crate::gateway::port::{Lost, Reply, Sending};
 use crate::gateway::quarantine::Run;
 use crate::gateway::relay;
@@ -29,7 +29,7 @@
 /// long as a connection is waited for, so that a plain request's aim is past.
 const MOST_UNREACHED: usize = 4;
 /// Part of a plain route's aim after which a silent server is given up for another one.
-const SILENT_PART: f64 = 0.6;
+const SILENT_FRACTION: f64 = 0.6;
 
 /// What one sending came to. The proof is there while the request has never run.
 pub(crate) enum Sent {
@@ -131,8 +131,8 @@
     async fn slot_or_borrow(&self) -> Result<Slot, NoSlot> {
         let now = time::now();
         match self.next_slot(now) {
-            Err(why) if why.why == IN_NEED => {
-                match self.gateway.borrow_room(&self.service, self.call, &self.tried, now).await {
+            Err(why) if why.why == SERVERS_IN_NEED => {
+                match self.gateway.borrow_quota(&self.service, self.call, &self.tried, now).await {
                     true => self.next_slot(time::now()),
                     false => Err(why),
                 }
@@ -152,27 +152,27 @@
         let arrived = self.tried.len() - self.unreached;
         if arrived >= MOST_SENDINGS || self.unreached >= MOST_UNREACHED {
             let (servers, why) = (self.gateway.servers(), "servers_refuse".into());
-            return Err(self.gateway.after_rest(why, &servers, &self.service, self.call, now));
+            return Err(self.gateway.after_backoff(why, &servers, &self.service, self.call, now));
         }
         // Only what arrives at a server beyond the first time counts as a repeat.
         match arrived {
             0 => {
-                let standing = self.standing();
+                let standing = self.admission_class();
                 self.gateway.slot(&self.service, self.call, standing, &self.tried, now)
             }
             _ => {
-                let standing = Standing::Returned;
+                let standing = AdmissionClass::Returned;
                 self.gateway.slot_again(&self.service, self.call, standing, &self.tried, now)
             }
         }
     }
 
     /// How the request stands to those that wait; one that continues a stream which broke off has begun.
-    fn standing(&self) -> Standing {
+    fn admission_class(&self) -> AdmissionClass {
         let call = self.call;
         match call.after {
-            Some(_) => Standing::Begun,
-            None => Standing::of(call.left(call.arrived), call.route.timeout),
+            Some(_) => AdmissionClass::Begun,
+            None => AdmissionClass::of(call.left(call.arrived), call.route.timeout),
         }
     }
 
@@ -261,7 +261,7 @@
         }
         let aim = self.call.route.aim;
         Some(match self.call.route.kind {
-            RouteKind::Safe => aim.mul_f64(SILENT_PART),
+            RouteKind::Safe => aim.mul_f64(SILENT_FRACTION),
             _ => admission::patience(aim, slot.waiting + slot.place.load.reading),
         })
     }
@@ -290,7 +290,7 @@
         match proof {
             Some(proof) => {
                 if let Some(due) = why.due {
-                    self.gateway.keep_room(&self.service.name, due);
+                    self.gateway.reserve_quota(&self.service.name, due);
                 }
                 Err(refused(proof, why))
             }
--- a/src/gateway/heartbeat.rs
+++ b/src/gateway/heartbeat.rs
@@ -9,9 +9,9 @@
 use crate::gateway::rollout::Stratum;
 use crate::gateway::rollout::tally::Tally;
 use crate::gateway::roster::Daemon;
-use crate::gateway::servers::{Load, Signs};
+use crate::gateway::servers::{Load, Observations};
 use crate::gateway::tag::Tag;
-use crate::gateway::update::Statement;
+use crate::gateway::update::CopyStatus;
 use crate::platform::Position;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
     /// Whether the receiver is a contact of the sender's choice, which should answer.
     pub chosen: bool,
     /// How the sender's copy of the store stands.
-    pub statement: Option<Statement>,
+    pub copy_status: Option<CopyStatus>,
     /// Age of the last read of the store that the sender knows of, its own or another daemon's, in
     /// milliseconds.
     pub read_ms: Option<u32>,
@@ -43,18 +43,18 @@
     /// The sender's cell.
     pub cell: CellId,
     /// What it has running and has spent; nothing for a receiver of another cell.
-    pub told: Told,
+    pub stats: DaemonStats,
     /// Sums of other daemons' words, made by the sender or passed on.
     pub sums: Vec<Sum>,
     /// What the sender knows of servers otherwise than from the store.
-    pub signs: Signs,
+    pub observations: Observations,
     /// Some of the daemons of its cell that it hears.
     pub others: Vec<SocketAddr>,
 }
 
 /// What one daemon, or several together, have running and have spent.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Told {
+pub struct DaemonStats {
     /// What runs where.
     pub loads: Vec<(Tag, Load)>,
     /// What was spent of the budget for repeats.
@@ -98,7 +98,7 @@
     /// Where callers may be sent: some of these daemons.
     pub entries: Vec<SocketAddr>,
     /// What they have running and have spent.
-    pub told: Told,
+    pub told: DaemonStats,
 }
 
 /// A request between daemons.
--- a/src/gateway/limit.rs
+++ b/src/gateway/limit.rs
@@ -24,7 +24,7 @@
 
 /// Time for which room is kept that is to lapse. A daemon to which a request comes each second or so finds its
 /// moment, and a fleet that was idle comes with no more at once than a server names for so long.
-const KEPT: Duration = Duration::from_secs(2);
+const QUOTA_LIFETIME: Duration = Duration::from_secs(2);
 /// Time for which a server names as much as daemons that keep their room may send at once, all together. With what
 /// comes free in the next four seconds that is 5.5 s of the limit, of six that the platform bears; the rest is for
 /// parts that differ while words are late.
@@ -39,11 +39,11 @@
 /// Time for which others are told that a limit is over: longer than a heartbeat that named it is on its way.
 const ENDED: Duration = Duration::from_secs(10);
 /// Part by which a limit has to change for others to hear of it at once rather than with the next heartbeat.
-const NEWS: f64 = 0.1;
+const URGENT_CHANGE: f64 = 0.1;
 
 /// What an answer says of its server's limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub enum LimitWord {
+pub enum LimitRemark {
     /// It names none.
     Free,
     /// Requests a second from all daemons together: zero or more, and finite.
@@ -66,7 +66,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Share {
     /// Its part.
-    pub part: f64,
+    pub fraction: f64,
     /// How much of the time between two of its requests has passed when the limit is first heard of; evenly
     /// spread over the daemons.
     pub phase: f64,
@@ -78,7 +78,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CellShare {
     /// Their part.
-    pub part: f64,
+    pub fraction: f64,
     /// How many they are.
     pub daemons: usize,
     /// This daemon's place among them, in an order of the server's own.
@@ -114,11 +114,11 @@
 /// them; where all of it together is less, each has its own part, and its room lapses.
 fn held(share: Share, at_once: f64) -> (usize, f64) {
     let cell = share.cell;
-    let holders = (cell.part * at_once) as usize;
+    let holders = (cell.fraction * at_once) as usize;
     match holders {
-        0 => (0, share.part),
-        _ if holders >= cell.daemons => (cell.daemons, share.part),
-        _ if cell.place < holders => (holders, cell.part / holders as f64),
+        0 => (0, share.fraction),
+        _ if holders >= cell.daemons => (cell.daemons, share.fraction),
+        _ if cell.place < holders => (holders, cell.fraction / holders as f64),
         _ => (holders, 0.0),
     }
 }
@@ -134,7 +134,7 @@
         let before = std::mem::replace(&mut self.rate, rate);
         match (before, rate) {
             (None, None) => false,
-            (Some(before), Some(rate)) => (rate - before).abs() > before * NEWS,
+            (Some(before), Some(rate)) => (rate - before).abs() > before * URGENT_CHANGE,
             _ => {
                 (self.room, self.at) = (None, Some(now));
                 self.ended = rate.is_none().then_some(now);
@@ -166,13 +166,13 @@
         self.keeps = own >= 1.0;
         self.room = Some(match self.keeps {
             true => grown.min(own),
-            false => lapse(grown, 1.0 + pace * KEPT.as_secs_f64()),
+            false => lapse(grown, 1.0 + pace * QUOTA_LIFETIME.as_secs_f64()),
         });
     }
 
     /// Requests that this daemon may send as of when that was last brought up to date; `None` where no limit is
     /// in force.
-    pub fn room(&self) -> Option<f64> {
+    pub fn quota(&self) -> Option<f64> {
         self.rate.map(|_| self.room.unwrap_or(0.0))
     }
 
--- a/src/gateway/need.rs
+++ b/src/gateway/limited.rs
@@ -1,10 +1,10 @@
 //! What this daemon hears of servers in need, what it may send them, and what it tells callers for whom there is
 //! no room.
 
-use crate::gateway::admission::Standing;
+use crate::gateway::admission::AdmissionClass;
 use crate::gateway::core::{Gateway, Wanted};
 use crate::gateway::limit::{CellShare, Share};
-use crate::gateway::promises::Room;
+use crate::gateway::promises::Quota;
 use crate::gateway::request::Call;
 use crate::gateway::servers::{Server, ServerKey, Servers};
 use crate::gateway::slot::NoSlot;
@@ -14,40 +14,40 @@
 use std::time::Instant;
 
 /// Why a request is refused for which only servers in need could have room.
-pub(super) const IN_NEED: &str = "servers_in_need";
+pub(super) const SERVERS_IN_NEED: &str = "servers_in_need";
 
 /// Whether a server takes one more request of this daemon: it names no limit, or the daemon has room there, which
 /// the request `may_use`.
-pub(super) fn has_room(server: &Server, may_use: bool) -> bool {
-    server.limit().room().is_none_or(|room| may_use && room >= 1.0)
+pub(super) fn has_quota(server: &Server, may_use: bool) -> bool {
+    server.limit().quota().is_none_or(|room| may_use && room >= 1.0)
 }
 
 impl Gateway {
     /// Room at the servers of a service that are in need and may take a request; `None` where there are none.
-    pub(super) fn room_in_need(
+    pub(super) fn limited_quota(
         &self,
         servers: &mut Servers,
         service: &Arc<str>,
         may_take: impl Fn(ServerKey, &Server) -> bool,
         now: Instant,
-    ) -> Option<Room> {
+    ) -> Option<Quota> {
         // Most often there are none, and nothing more is to be done.
-        servers.in_need(service).next()?;
+        servers.limited(service).next()?;
         let mut budget = self.budget();
-        let (part, cell_part) = (budget.part(service, now), budget.cell_part(service, now));
+        let (part, cell_part) = (budget.part(service, now), budget.cell_fraction(service, now));
         let (_, rank) = *self.cold.lock().expect("no holder panics");
         let near = budget.near();
         let share = |server: Tag| {
             let (daemons, place) = (near.count(), near.place(server));
-            let cell = CellShare { part: cell_part, daemons, place };
-            Share { part, phase: rank.phase(server), cell }
+            let cell = CellShare { fraction: cell_part, daemons, place };
+            Share { fraction: part, phase: rank.phase(server), cell }
         };
         servers.settle_limits(service, share, now);
         drop(budget);
-        let in_need = servers.in_need(service).filter(|(key, server)| may_take(*key, server));
-        in_need.fold(None, |room: Option<Room>, (_, server)| {
+        let in_need = servers.limited(service).filter(|(key, server)| may_take(*key, server));
+        in_need.fold(None, |room: Option<Quota>, (_, server)| {
             let (limit, mut room) = (server.limit(), room.unwrap_or_default());
-            room.now += limit.room().unwrap_or_default().max(0.0).floor();
+            room.now += limit.quota().unwrap_or_default().max(0.0).floor();
             room.pace += limit.pace() * part;
             room.all += limit.pace();
             Some(room)
@@ -57,23 +57,23 @@
     /// Whether a request of such a standing may use the room at servers in need.
     pub(super) fn may_use(
         &self,
-        room: Room,
+        room: Quota,
         service: &Arc<str>,
-        standing: Standing,
+        admission_class: AdmissionClass,
         now: Instant,
     ) -> bool {
-        match standing {
-            Standing::Newcomer => {
+        match admission_class {
+            AdmissionClass::Newcomer => {
                 let mut promises = self.promises();
-                promises.entry(service.clone()).or_default().leave_room(room, now)
+                promises.entry(service.clone()).or_default().newcomer_may_use(room, now)
             }
-            Standing::Returned | Standing::Begun => true,
+            AdmissionClass::Returned | AdmissionClass::Begun => true,
         }
     }
 
     /// A request takes room at a server in need.
-    pub(super) fn redeem(&self, service: &Arc<str>, standing: Standing, now: Instant) {
-        if standing == Standing::Returned
+    pub(super) fn redeem(&self, service: &Arc<str>, admission_class: AdmissionClass, now: Instant) {
+        if admission_class == AdmissionClass::Returned
             && let Some(promises) = self.promises().get_mut(service)
         {
             promises.redeem(now);
@@ -81,9 +81,9 @@
     }
 
     /// Why a request gets no slot where no server has room, and when there is some.
-    pub(super) fn no_room(
+    pub(super) fn no_quota(
         &self,
-        room: Room,
+        room: Quota,
         service: &Arc<str>,
         call: &Call,
         now: Instant,
@@ -92,14 +92,14 @@
         let mut promises = self.promises();
         let promises = promises.entry(service.clone()).or_default();
         let back = promises.come_back(room, demand, call.left(now), now);
-        NoSlot { why: IN_NEED, come_back: back.after, due: back.due }
+        NoSlot { why: SERVERS_IN_NEED, come_back: back.after, due: back.due }
     }
 
     /// Asks other daemons for room for a request that would be refused here. Says whether it was given.
     ///
     /// Where few daemons hold the room of all, it is with them that there is some. Where each one does, some have
     /// room that they don't use only where less comes to all than the servers in need take.
-    pub(super) async fn borrow_room(
+    pub(super) async fn borrow_quota(
         &self,
         service: &Service,
         call: &Call,
@@ -109,7 +109,7 @@
         let may_take = self.may_take(service, call, tried, now);
         let daemons = self.budget().near().count();
         let (mut wanted, mut pace) = (Vec::new(), 0.0);
-        for (key, server) in self.servers().in_need(&service.name) {
+        for (key, server) in self.servers().limited(&service.name) {
             let holders = server.limit().holders();
             if holders > 0 && may_take(key, server) {
                 wanted.push(Wanted { server: server.tag(), holders });
@@ -122,7 +122,7 @@
         let Some(hearing) = self.hearing().filter(|_| worth_asking) else {
             return false;
         };
-        let given = hearing.borrow_room(wanted).await;
+        let given = hearing.borrow_quota(wanted).await;
         if let Some(server) = given {
             self.servers().borrowed(server);
         }
@@ -131,18 +131,18 @@
 
     /// Gives room for one request at one of these servers to a peer, where this daemon has some and has not
     /// promised it.
-    pub(super) fn lend_room(&self, wanted: &[Tag], now: Instant) -> Option<Tag> {
+    pub(super) fn lend_quota(&self, wanted: &[Tag], now: Instant) -> Option<Tag> {
         let mut servers = self.servers();
         let service = servers.tagged(*wanted.first()?)?.record.service.clone();
-        let room = self.room_in_need(&mut servers, &service, |_, _| true, now)?;
-        match self.may_use(room, &service, Standing::Newcomer, now) {
+        let room = self.limited_quota(&mut servers, &service, |_, _| true, now)?;
+        match self.may_use(room, &service, AdmissionClass::Newcomer, now) {
             true => servers.lend(wanted),
             false => None,
         }
     }
 
     /// Keeps room for a caller that is told to come back then.
-    pub(super) fn keep_room(&self, service: &Arc<str>, due: Instant) {
+    pub(super) fn reserve_quota(&self, service: &Arc<str>, due: Instant) {
         self.promises().entry(service.clone()).or_default().keep(due);
     }
 }
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -21,7 +21,7 @@
 use crate::gateway::core::Gateway;
 use crate::gateway::port::{Change, Entry, Schema};
 use crate::gateway::roster::Roster;
-use crate::gateway::update::{Cell, Content, Lack, Statement, Update};
+use crate::gateway::update::{Cell, Content, CopyStatus, Lack, Update};
 use crate::platform::Position;
 use log::{info, warn};
 use retained::Retention;
@@ -59,11 +59,11 @@
     }
 
     /// What this daemon may say of its copy; `None` before the first confirmation.
-    pub fn statement(&self, now: Instant) -> Option<Statement> {
+    pub fn copy_status(&self, now: Instant) -> Option<CopyStatus> {
         let state = self.state();
         let age_ms = clock::millis(state.confirmed?, now);
         let servers = state.servers();
-        Some(Statement {
+        Some(CopyStatus {
             position: state.position,
             changed: state.last_change(),
             servers,
@@ -122,7 +122,7 @@
             let mattered = (!crosses && news.revision > before).then_some(news.revision);
             self.take(&mut state, News { mattered, ..news }, seen, now);
         }
-        state.news.log();
+        state.server_changes.log();
     }
 
     /// Takes in all changes up to `position`, as the store stood at `seen`.
@@ -136,11 +136,11 @@
         for news in news {
             self.take(&mut state, news, seen, now);
         }
-        state.news.log();
+        state.server_changes.log();
     }
 
     /// Hears a peer's statement that was true at `seen` or later. Says what this copy lacks.
-    pub fn hear(&self, statement: Statement, seen: Instant, now: Instant) -> Lack {
+    pub fn hear(&self, statement: CopyStatus, seen: Instant, now: Instant) -> Lack {
         let mut state = self.state();
         if statement.position.era != state.position.era {
             return state.lack(&statement);
@@ -166,7 +166,7 @@
     }
 
     /// What this copy lacks against a peer's statement of which it is not known when it was true.
-    pub fn lack(&self, statement: &Statement) -> Lack {
+    pub fn lack(&self, statement: &CopyStatus) -> Lack {
         self.state().lack(statement)
     }
 
@@ -202,7 +202,7 @@
 
     /// What a copy at `after` lacks, of values with up to `most` bytes.
     fn update(&self, after: Position, most: usize, now: Instant) -> Option<Update> {
-        let statement = self.statement(now)?;
+        let statement = self.copy_status(now)?;
         let state = self.state();
         let whole = !state.spans(after);
         // Told apart before any value is copied: a large one may have a megabyte.
@@ -220,21 +220,21 @@
         let cells = given.into_iter().map(cell).collect();
         let (retained, all_retained) = state.retained_for_peer(most, now);
         let (base, complete) = (state.base, left.is_empty() && all_retained);
-        Some(Update { statement, whole, complete, base, cells, retained })
+        Some(Update { copy_status: statement, full: whole, complete, base, cells, retained })
     }
 
     /// Takes in what a peer gave, true at `seen` or later.
     pub fn apply(&self, update: Update, seen: Instant, now: Instant) {
-        let position = update.statement.position;
+        let position = update.copy_status.position;
         let crosses = {
             let mut state = self.state();
             if position.era < state.position.era {
                 return;
             }
-            state.asked.insert(update.statement.retained);
+            state.asked.insert(update.copy_status.retained);
             self.enter_era(&mut state, position, update.base, now)
         };
-        match update.whole && update.complete {
+        match update.full && update.complete {
             true => {
                 let live = update.cells.into_iter().filter(|cell| !cell.content.is_deleted());
                 self.replace_all(live.map(News::from).collect(), position, crosses, seen, now);
@@ -249,8 +249,8 @@
 
     /// Takes in some keys that a peer gave.
     fn apply_changes(&self, update: Update, crosses: bool, seen: Instant, now: Instant) {
-        let Statement { position, servers, since, .. } = update.statement;
-        if crosses && !update.whole {
+        let CopyStatus { position, servers, since, .. } = update.copy_status;
+        if crosses && !update.full {
             self.state().forgotten = since;
         }
         let mut news: Vec<News> = update.cells.into_iter().map(News::from).collect();
@@ -265,7 +265,7 @@
             state.restate(since);
         }
         self.adopt(&mut state, update.retained, now);
-        if !update.whole {
+        if !update.full {
             state.small = state.small.max(position);
             state.servers = state.servers.max(servers);
         }
@@ -300,7 +300,7 @@
         for news in news {
             self.take(&mut state, news, seen, now);
         }
-        state.news.log();
+        state.server_changes.log();
     }
 
     /// Takes in some keys before all have been read.
@@ -332,7 +332,7 @@
             state.missing.remove(&key);
             self.drop_server(&mut state, &key);
         }
-        state.news.log();
+        state.server_changes.log();
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
--- a/src/gateway/mirror/enforce.rs
+++ b/src/gateway/mirror/enforce.rs
@@ -103,8 +103,8 @@
     fn take_server(&self, state: &mut State, key: &str, record: ServerRecord, now: Instant) {
         state.missing.remove(key);
         match record.leaving {
-            true => state.news.leaving.push(record.id.to_string()),
-            false => state.news.came += 1,
+            true => state.server_changes.leaving.push(record.id.to_string()),
+            false => state.server_changes.came += 1,
         }
         self.gateway.servers().upsert(record, now);
     }
@@ -129,7 +129,7 @@
 
     pub(super) fn drop_server(&self, state: &mut State, key: &str) {
         let id = self.id(key);
-        state.news.gone.push(id.to_string());
+        state.server_changes.gone.push(id.to_string());
         self.gateway.servers().remove(id);
     }
 
@@ -159,7 +159,7 @@
             false => quarantine.is_released(fingerprint, now),
         }
         drop(quarantine);
-        self.gateway.quarantine_news.notify_one();
+        self.gateway.quarantine_changed.notify_one();
     }
 
     fn take_daemon(&self, key: &str, value: Option<&[u8]>) {
--- a/src/gateway/mirror/retained.rs
+++ b/src/gateway/mirror/retained.rs
@@ -109,7 +109,7 @@
         let request = key.strip_prefix(self.schema.quarantine()).and_then(Fingerprint::parse);
         if let Some(request) = request.filter(|_| !kept.content.is_deleted()) {
             self.gateway.quarantine().is_lost(request, now);
-            self.gateway.quarantine_news.notify_one();
+            self.gateway.quarantine_changed.notify_one();
         }
         state.retained.insert(key.into(), kept);
     }
@@ -131,7 +131,7 @@
         match serde_json::from_slice(value) {
             Ok(record) => {
                 self.gateway.rollouts().lose_record(service, record, at, now);
-                self.gateway.rollout_news.notify_one();
+                self.gateway.rollout_changed.notify_one();
             }
             Err(e) => {
                 warn!(service = service, why = e.to_string().as_str(); "record of a roll-out not readable")
--- a/src/gateway/mirror/state.rs
+++ b/src/gateway/mirror/state.rs
@@ -3,7 +3,7 @@
 use super::retained::Retention;
 use crate::gateway::outage::Outages;
 use crate::gateway::port::{Change, Entry};
-use crate::gateway::update::{Cell, Content, Lack, Statement};
+use crate::gateway::update::{Cell, Content, CopyStatus, Lack};
 use crate::platform::Position;
 use log::info;
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
@@ -69,7 +69,7 @@
     /// Servers whose entries lapsed while the store was away, and until when they are waited for.
     pub(super) missing: HashMap<String, Instant>,
     /// What of servers' entries is not logged yet.
-    pub(super) news: ServerNews,
+    pub(super) server_changes: ServerChanges,
 }
 
 /// What a copy knew of an era when it went over to a later one: a peer's copy that stands between the two positions
@@ -114,15 +114,15 @@
 /// Changes of servers' entries that came together, for one log line: with a line for each, a daemon's
 /// lines would grow with the fleet.
 #[derive(Default)]
-pub(super) struct ServerNews {
+pub(super) struct ServerChanges {
     pub(super) came: usize,
     pub(super) leaving: Vec<String>,
     pub(super) gone: Vec<String>,
 }
 
-impl ServerNews {
+impl ServerChanges {
     pub(super) fn log(&mut self) {
-        let ServerNews { came, leaving, gone } = std::mem::take(self);
+        let ServerChanges { came, leaving, gone } = std::mem::take(self);
         if came > 0 || !leaving.is_empty() || !gone.is_empty() {
             let (leaving, gone) = (leaving.join(","), gone.join(","));
             info!(came = came, leaving_ids = leaving.as_str(), gone_ids = gone.as_str(); "backend servers");
@@ -198,7 +198,7 @@
     }
 
     /// What this copy lacks against one of which a peer states so much.
-    pub(super) fn lack(&self, statement: &Statement) -> Lack {
+    pub(super) fn lack(&self, statement: &CopyStatus) -> Lack {
         // In another era nothing is known to be as it was.
         let begun = Position::new(statement.position.era, 0);
         let servers = statement.servers_changed.max(begun) > self.servers();
--- a/src/gateway/moving.rs
+++ b/src/gateway/moving.rs
@@ -7,7 +7,7 @@
 
 use crate::gateway::budget::Repeat;
 use crate::gateway::core::Gateway;
-use crate::gateway::port::{Copied, KeptRun, NotCopied};
+use crate::gateway::port::{Copied, NotCopied, RunCopy};
 use crate::gateway::request::Call;
 use crate::gateway::slot::{Place, Slot};
 use crate::gateway::table::{Engine, Service};
@@ -40,12 +40,12 @@
     /// The run was stopped and its memory is whole at the server of the slot.
     Stopped {
         /// The copy.
-        kept: KeptRun,
+        kept: RunCopy,
         /// The server that holds it.
         slot: Box<Slot>,
     },
     /// The run was stopped, and only its own server holds its memory.
-    SourceKeeps(KeptRun),
+    SourceKeeps(RunCopy),
     /// The run goes on where it is.
     Stays(&'static str),
 }
@@ -91,7 +91,7 @@
     }
     stopping.store(true, Ordering::Relaxed);
     let copier = Copier { gateway: &gateway, run: &call.id, from: &source, to: &slot };
-    let kept = |handle| KeptRun { server: source.to.addr, handle };
+    let kept = |handle| RunCopy { server: source.to.addr, handle };
     match copier.copy(true).await {
         Ok(copied) => {
             copy.handle = None;
--- a/src/gateway/outcomes.rs
+++ b/src/gateway/outcomes.rs
@@ -12,7 +12,7 @@
 /// a server half as trusted, not useless.
 const ASSUMED_SOUND: f32 = 1.0;
 /// Failures below which other daemons need not hear of a server: one that is over four half-lives old.
-const TOLD_FAILURES: f32 = 0.05;
+const REPORTED_FAILURES: f32 = 0.05;
 
 /// Numbers of recent exchanges; older ones count as parts of one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
@@ -38,7 +38,7 @@
 
     /// Whether other daemons should hear of them.
     pub fn matter(self) -> bool {
-        self.failed >= TOLD_FAILURES
+        self.failed >= REPORTED_FAILURES
     }
 }
 
--- a/src/gateway/partner.rs
+++ b/src/gateway/partner.rs
@@ -26,7 +26,7 @@
 
 /// Part of the time between two requests at one server after which a load may be heard: no more than one in so many
 /// requests meets another one of which it could not know.
-const UNHEARD_PART: f64 = 0.07;
+const UNHEARD_FRACTION: f64 = 0.07;
 /// Most by which pauses between heartbeats are stretched, and the longest stretched ones: silence is noticed within three
 /// of them, and what the store's first reader knows takes two ways between relays and one within a cell.
 const MOST_STRETCHED: f64 = 10.0;
@@ -49,7 +49,7 @@
 
     /// For a time between two requests at one server, in seconds.
     pub fn of(gap: f64) -> Stretch {
-        Stretch((gap * UNHEARD_PART / RELAY_HEARTBEAT.as_secs_f64()).clamp(1.0, MOST_STRETCHED))
+        Stretch((gap * UNHEARD_FRACTION / RELAY_HEARTBEAT.as_secs_f64()).clamp(1.0, MOST_STRETCHED))
     }
 
     fn pause(self, pause: Duration, longest: Duration) -> Duration {
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -38,7 +38,7 @@
 
 /// What is to be placed.
 #[derive(Debug, Clone, Copy)]
-pub struct Need<'a> {
+pub struct PlacementRequest<'a> {
     /// The hall that is preferred.
     pub hall: &'a str,
     /// Cost of another hall, as a share of a server's capacity.
@@ -54,7 +54,7 @@
     pub engine: Option<&'a Engine>,
 }
 
-impl Need<'_> {
+impl PlacementRequest<'_> {
     /// Whether a run is to be copied, rather than a request sent.
     fn is_copy(&self) -> bool {
         self.load.arriving > 0
@@ -80,7 +80,7 @@
     fn choose(
         &self,
         candidates: &[Candidate<'_>],
-        need: &Need<'_>,
+        request: &PlacementRequest<'_>,
         now: Instant,
         rng: &mut dyn Rng,
     ) -> Option<ServerKey>;
@@ -98,15 +98,16 @@
     fn choose(
         &self,
         candidates: &[Candidate<'_>],
-        need: &Need<'_>,
+        request: &PlacementRequest<'_>,
         now: Instant,
         rng: &mut dyn Rng,
     ) -> Option<ServerKey> {
-        let unseen = need.unseen * need.engine.map_or(0.0, |engine| share(need.load, engine));
-        if unseen > need.alike {
-            return draw_below(candidates, |c| cost(c, need, now), unseen, rng);
+        let unseen =
+            request.unseen * request.engine.map_or(0.0, |engine| share(request.load, engine));
+        if unseen > request.alike {
+            return draw_below(candidates, |c| cost(c, request, now), unseen, rng);
         }
-        draw_least(candidates, |c| cost(c, need, now), need.alike, rng)
+        draw_least(candidates, |c| cost(c, request, now), request.alike, rng)
     }
 }
 
@@ -174,19 +175,19 @@
 }
 
 /// Cost of a server for a newcomer, as a share of a full one.
-fn cost(candidate: &Candidate<'_>, need: &Need<'_>, now: Instant) -> f64 {
+fn cost(candidate: &Candidate<'_>, request: &PlacementRequest<'_>, now: Instant) -> f64 {
     let (server, load) = (candidate.server, candidate.load);
-    let used = match need.engine {
+    let used = match request.engine {
         Some(engine) => {
-            share(load, engine) + f64::from(need.load.tokens) / f64::from(engine.memory.max(1))
+            share(load, engine) + f64::from(request.load.tokens) / f64::from(engine.memory.max(1))
         }
         None => f64::from(load.runs) / f64::from(server.record.slots.max(1)),
     };
-    let used = if need.is_copy() {
+    let used = if request.is_copy() {
         used.max(ROOMY) + f64::from(load.arriving) / ARRIVING_SCALE
     } else {
         used
     };
-    let far = if server.record.hall == need.hall { 0.0 } else { need.far };
+    let far = if server.record.hall == request.hall { 0.0 } else { request.far };
     used + far + server.failure_rate(now) * FAILURE_COST
 }
--- a/src/gateway/policies.rs
+++ b/src/gateway/policies.rs
@@ -1,6 +1,6 @@
 //! The simple ways to choose a server, beside [`Headroom`], to compare with it on live traffic.
 
-use crate::gateway::place::{Candidate, Headroom, Need, Placing, draw_least};
+use crate::gateway::place::{Candidate, Headroom, PlacementRequest, Placing, draw_least};
 use crate::gateway::servers::ServerKey;
 use rand::{Rng, RngExt};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -32,7 +32,7 @@
     fn choose(
         &self,
         candidates: &[Candidate<'_>],
-        _need: &Need<'_>,
+        _need: &PlacementRequest<'_>,
         _now: Instant,
         rng: &mut dyn Rng,
     ) -> Option<ServerKey> {
@@ -52,7 +52,7 @@
     fn choose(
         &self,
         candidates: &[Candidate<'_>],
-        _need: &Need<'_>,
+        _need: &PlacementRequest<'_>,
         _now: Instant,
         rng: &mut dyn Rng,
     ) -> Option<ServerKey> {
@@ -79,7 +79,7 @@
     fn choose(
         &self,
         candidates: &[Candidate<'_>],
-        _need: &Need<'_>,
+        _need: &PlacementRequest<'_>,
         _now: Instant,
         _rng: &mut dyn Rng,
     ) -> Option<ServerKey> {
--- a/src/gateway/port.rs
+++ b/src/gateway/port.rs
@@ -26,7 +26,7 @@
 
 /// Memory of a run that another server holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KeptRun {
+pub struct RunCopy {
     /// The server that names the copy.
     pub server: SocketAddr,
     /// Its name there.
@@ -41,7 +41,7 @@
     /// Time that the backend server is given.
     pub left: Duration,
     /// The copy that the run goes on from.
-    pub from: Option<KeptRun>,
+    pub from: Option<RunCopy>,
     /// The last event that is not to come again.
     pub after: Option<u64>,
 }
--- a/src/gateway/promises.rs
+++ b/src/gateway/promises.rs
@@ -9,9 +9,9 @@
 use std::time::{Duration, Instant};
 
 /// Part of the room that comes free which may be promised.
-const PROMISED_PART: f64 = 0.5;
+const PROMISED_FRACTION: f64 = 0.5;
 /// Part of the time that a caller has left for which it waits at most before it comes back.
-const WAITED_PART: f64 = 1.0 / 3.0;
+const WAITED_FRACTION: f64 = 1.0 / 3.0;
 /// Least time after which a caller for whom no room is kept comes back: sooner it would find what it left.
 const LEAST_AWAY: Duration = Duration::from_millis(300);
 /// Time for which room is kept for a caller that is late: its way here, and a new connection.
@@ -19,7 +19,7 @@
 
 /// What this daemon may send to the servers in need of one service.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Room {
+pub struct Quota {
     /// Requests that it may send now, whole ones of each server.
     pub now: f64,
     /// Requests a second by which that grows.
@@ -46,7 +46,7 @@
 
 impl Promises {
     /// Whether a newcomer may use the room: it is not needed for callers who come back before there is more.
-    pub fn leave_room(&mut self, room: Room, now: Instant) -> bool {
+    pub fn newcomer_may_use(&mut self, room: Quota, now: Instant) -> bool {
         self.forget(now);
         let ahead = Duration::try_from_secs_f64(1.0 / room.pace).unwrap_or(Duration::MAX);
         let soon = |due: &&Instant| due.saturating_duration_since(now) <= ahead;
@@ -62,14 +62,14 @@
     /// When a caller that has so much time left should come back. Room is to be kept for it where it would wait
     /// for that; else it is told when what comes in a second now, `demand`, has been taken by all daemons
     /// together.
-    pub fn come_back(&mut self, room: Room, demand: f64, left: Duration, now: Instant) -> Return {
+    pub fn come_back(&mut self, room: Quota, demand: f64, left: Duration, now: Instant) -> Return {
         self.forget(now);
         let wanted = (1.0 + self.due.len() as f64 - room.now).max(0.0);
-        let own = seconds(wanted / (room.pace * PROMISED_PART));
+        let own = seconds(wanted / (room.pace * PROMISED_FRACTION));
         // Each promise comes after the one before it.
         let last = self.due.back().map_or(Duration::ZERO, |due| due.saturating_duration_since(now));
         let own = own.max(last);
-        match own <= left.mul_f64(WAITED_PART) {
+        match own <= left.mul_f64(WAITED_FRACTION) {
             true => Return { after: own, due: Some(now + own) },
             false => {
                 let others = seconds(demand / room.all).max(LEAST_AWAY);
--- a/src/gateway/quarantine.rs
+++ b/src/gateway/quarantine.rs
@@ -48,7 +48,7 @@
 const MOST_SUSPECTED: usize = 256;
 /// Suspected requests that a daemon, or a sum of several, tells at most, those under which most servers ended
 /// first: some 30 bytes each.
-pub(crate) const MOST_TOLD: usize = 32;
+pub(crate) const MAX_REPORTED: usize = 32;
 
 /// What became of the servers that ran a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -238,7 +238,7 @@
     /// Keeps a request back from now on where that is proved and new.
     fn judge(&mut self, request: Fingerprint, now: Instant) -> bool {
         let is_open =
-            self.kept_back(request, now).is_none() && !self.released.contains_key(&request);
+            self.quarantined_for(request, now).is_none() && !self.released.contains_key(&request);
         let proved = is_open && self.is_proved(request, now);
         if proved {
             self.held.insert(request, now + MEMORY);
@@ -260,7 +260,7 @@
         let suspected = self.own.keys().chain(self.others.keys());
         for other in suspected.filter(|other| **other != request) {
             let evidence = self.all_seen(*other, now);
-            let first = evidence.weight() > weight || self.kept_back(*other, now).is_some();
+            let first = evidence.weight() > weight || self.quarantined_for(*other, now).is_some();
             if first && evidence.is_proof() {
                 left.leave_out(&evidence);
             } else if evidence.is_suspect() {
@@ -280,7 +280,7 @@
     }
 
     /// How long a request is still kept back; `None` where it may be sent.
-    pub fn kept_back(&self, request: Fingerprint, now: Instant) -> Option<Duration> {
+    pub fn quarantined_for(&self, request: Fingerprint, now: Instant) -> Option<Duration> {
         let until = self.held.get(&request).max(self.stored.get(&request))?;
         let left = until.saturating_duration_since(now);
         (!left.is_zero()).then_some(left)
@@ -355,9 +355,9 @@
 
 /// The requests under which most servers ended, as many as are told.
 pub(crate) fn most_ended(mut told: Vec<(Fingerprint, Evidence)>) -> Vec<(Fingerprint, Evidence)> {
-    if told.len() > MOST_TOLD {
+    if told.len() > MAX_REPORTED {
         told.sort_by_key(|(request, evidence)| (Reverse(evidence.blame()), *request));
-        told.truncate(MOST_TOLD);
+        told.truncate(MAX_REPORTED);
     }
     told
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -3,12 +3,12 @@
 //! Whole events only, in the order of their ids, each once. When the server is about to leave,
 //! the run is carried over to another one while its events go on.
 
-use crate::gateway::admission::Standing;
+use crate::gateway::admission::AdmissionClass;
 use crate::gateway::core::Gateway;
 use crate::gateway::events::Event;
 use crate::gateway::forward::Sent;
 use crate::gateway::moving::{self, Moved};
-use crate::gateway::port::{KeptRun, Reply, Sending};
+use crate::gateway::port::{Reply, RunCopy, Sending};
 use crate::gateway::quarantine::Run;
 use crate::gateway::request::{Answer, BrokenOff, Call};
 use crate::gateway::slot::Slot;
@@ -283,7 +283,7 @@
     /// silent. A run that makes nothing, as one that waits for memory, stays where it is.
     async fn goes_on_unheard(&mut self) -> bool {
         let now = time::now();
-        if self.gateway.servers().is_resting(self.slot.key(), now) {
+        if self.gateway.servers().is_backing_off(self.slot.key(), now) {
             self.looked = Some(Looked { at: now, made: None });
             return false;
         }
@@ -360,7 +360,7 @@
 
     /// Goes on from a copy at another server, or from what the stopped run left at its own. It is
     /// the same run, accepted while its key held: a key that was taken away since does not cut it.
-    async fn go_on(&mut self, kept: KeptRun, slot: Option<Slot>) -> Result<(), End> {
+    async fn go_on(&mut self, kept: RunCopy, slot: Option<Slot>) -> Result<(), End> {
         let to = slot.as_ref().map_or(&self.slot.place.to, |slot| &slot.place.to).clone();
         let now = time::now();
         let key = slot.as_ref().map_or(self.slot.key(), Slot::key);
@@ -368,7 +368,7 @@
             Sending { to, left: self.call.left(now), from: Some(kept.clone()), after: self.last };
         let elsewhere = slot.is_some();
         if !elsewhere {
-            self.gateway.servers().takes_room(key);
+            self.gateway.servers().use_quota(key);
         }
         // Nothing more is sent to a hall that was closed a while ago or to a server that rests, not even what ran
         // there.
@@ -413,7 +413,7 @@
             return Err(End::Broken(why));
         }
         let tried = [self.slot.key()];
-        let begun = Standing::Begun;
+        let begun = AdmissionClass::Begun;
         let Ok(slot) = self.gateway.slot_again(&self.service, &self.call, begun, &tried, now)
         else {
             return Err(End::Broken(why));
--- a/src/gateway/remarks.rs
+++ b/src/gateway/remarks.rs
@@ -2,10 +2,10 @@
 
 use crate::gateway::condition::Remarks;
 use crate::gateway::core::Gateway;
-use crate::gateway::limit::LimitWord;
-use crate::gateway::need::IN_NEED;
+use crate::gateway::limit::LimitRemark;
+use crate::gateway::limited::SERVERS_IN_NEED;
 use crate::gateway::request::Call;
-use crate::gateway::servers::{News, Rested, Server, ServerKey, Servers};
+use crate::gateway::servers::{Backoffs, NewRemarks, Server, ServerKey, Servers};
 use crate::gateway::slot::NoSlot;
 use crate::gateway::table::Service;
 use crate::time;
@@ -15,14 +15,14 @@
 
 /// Time within which callers come back who were refused because all servers rest, from the end of the first rest
 /// on. At that moment the server is idle, and would turn most of them away again if they came together.
-const AFTER_REST: Duration = Duration::from_millis(300);
+const AFTER_BACKOFF: Duration = Duration::from_millis(300);
 
 impl Gateway {
     /// Takes in what an answer to something that was sent at `asked` says of its server.
     pub(crate) fn hear(&self, server: ServerKey, remarks: &Remarks, asked: Instant) {
         let now = time::now();
         let news = self.servers().hear(server, remarks, asked, now);
-        if news == News::default() {
+        if news == NewRemarks::default() {
             return;
         }
         let id = self.server_id(server).unwrap_or_default();
@@ -31,13 +31,13 @@
             info!(server = &*id; "server says that it leaves");
             self.tell();
         }
-        if let Some(rest) = remarks.rest.filter(|_| news.rests) {
+        if let Some(rest) = remarks.backoff.filter(|_| news.rests) {
             info!(server = &*id, ms = rest.as_millis() as u64; "server asks for rest");
         }
         if news.limit {
-            self.metrics.limited_servers.set(self.servers().count_in_need() as i64);
+            self.metrics.limited_servers.set(self.servers().count_limited() as i64);
             match remarks.limit {
-                LimitWord::Rate(rate) => {
+                LimitRemark::Rate(rate) => {
                     info!(server = &*id, per_second = rate; "server names a limit")
                 }
                 _ => info!(server = &*id; "server names no limit any more"),
@@ -48,7 +48,7 @@
 
     /// Why a request gets no slot, with the time at which one of the servers that rest takes requests of this daemon
     /// again: its caller is not to come back sooner where all rest, nor later where the others have no room.
-    pub(super) fn after_rest(
+    pub(super) fn after_backoff(
         &self,
         why: NoSlot,
         servers: &Servers,
@@ -58,13 +58,14 @@
     ) -> NoSlot {
         let allowed = self.allowed(call);
         let may_serve = |server: &Server| allowed.has(&server.record.hall);
-        let Some(Rested { first: Some(left), all }) = servers.rested(&service.name, may_serve, now)
+        let Some(Backoffs { first: Some(left), all }) =
+            servers.backoffs(&service.name, may_serve, now)
         else {
             return why;
         };
         // Those who are refused within a rest come back one after the other.
-        let come_back = left + rand::rng().random_range(Duration::ZERO..AFTER_REST);
-        match all || (why.why == IN_NEED && come_back < why.come_back) {
+        let come_back = left + rand::rng().random_range(Duration::ZERO..AFTER_BACKOFF);
+        match all || (why.why == SERVERS_IN_NEED && come_back < why.come_back) {
             true => NoSlot { come_back, due: None, ..why },
             false => why,
         }
@@ -87,7 +88,7 @@
             info!(id = request, server = &*id, told_ms = since(at); "sent to a server that leaves");
             self.metrics.unheeded_sendings.with_label_values(&["leaving"]).inc();
         }
-        if let Some(rest) = condition.rest(now) {
+        if let Some(rest) = condition.backoff(now) {
             info!(id = request, server = &*id, told_ms = since(rest.asked); "sent to a server that rests");
             self.metrics.unheeded_sendings.with_label_values(&["rest"]).inc();
         }
--- a/src/gateway/rollout.rs
+++ b/src/gateway/rollout.rs
@@ -32,17 +32,17 @@
 use verdict::Test;
 
 /// Part of the platform's bound on what a candidate may get that is used.
-const USED_PART: f64 = 0.85;
+const USED_FRACTION: f64 = 0.85;
 /// Most of one route's requests that the candidate gets.
 const MOST_OF_ROUTE: f64 = 0.3;
 /// Time for which requests go to the same canaries.
 const CANARY_TIME: Duration = Duration::from_millis(2_500);
 /// Part of a roll-out's time, and its bounds, for the shift of all traffic and of the runs under way.
-const SHIFT_PART: f64 = 0.35;
+const SHIFT_FRACTION: f64 = 0.35;
 const SHORTEST_SHIFT: Duration = Duration::from_millis(3_000);
 const LONGEST_SHIFT: Duration = Duration::from_millis(5_000);
 /// Part of the time for the shift in which the candidate's part of the requests grows to all of them.
-const RAMP_PART: f64 = 0.25;
+const RAMP_FRACTION: f64 = 0.25;
 /// Time before a roll-out's end at which it is decided, whatever is still under way.
 const LAST_MOMENT: Duration = Duration::from_millis(800);
 /// Time before its end up to which a candidate may still be found sound.
@@ -171,13 +171,13 @@
 
     /// Time for the shift of all traffic and of the runs under way.
     fn shift(&self) -> Duration {
-        let shift = self.order.time.mul_f64(SHIFT_PART);
+        let shift = self.order.time.mul_f64(SHIFT_FRACTION);
         shift.clamp(SHORTEST_SHIFT, LONGEST_SHIFT).min(self.order.time)
     }
 
     /// Time in which the candidate's part of the requests grows to all of them.
     fn ramp(&self) -> Duration {
-        self.shift().mul_f64(RAMP_PART)
+        self.shift().mul_f64(RAMP_FRACTION)
     }
 
     fn age(&self, now: Instant) -> Duration {
@@ -214,13 +214,13 @@
         let all: f64 = routes.iter().map(|route| f64::from(self.requests(*route)) + 1.0).sum();
         let own = f64::from(self.requests(route)) + 1.0;
         let even = all / routes.len() as f64 / own;
-        (bound * USED_PART * even).min(MOST_OF_ROUTE)
+        (bound * USED_FRACTION * even).min(MOST_OF_ROUTE)
     }
 
     /// The candidate's servers that get its requests at present.
     fn canaries(&self, bound: f64, now: Instant) -> Vec<ServerKey> {
         let all = &self.census.candidate;
-        let count = (self.census.baseline as f64 * bound * USED_PART).ceil() as usize;
+        let count = (self.census.baseline as f64 * bound * USED_FRACTION).ceil() as usize;
         let count = count.clamp(1, all.len().max(1));
         let turn = (self.age(now).as_millis() / CANARY_TIME.as_millis()) as usize;
         let from = turn * count;
@@ -295,7 +295,7 @@
     fn is_sound(&self, bound: f64) -> bool {
         let routes = self.routes();
         let tried = |route: &Tag| self.total(*route, Arm::Candidate).tried;
-        let expected = |route: &Tag| f64::from(self.requests(*route)) * bound * USED_PART;
+        let expected = |route: &Tag| f64::from(self.requests(*route)) * bound * USED_FRACTION;
         let is_tried = |route: &Tag| {
             tried(route) >= LEAST_TRIED_OF_ROUTE
                 || expected(route) < f64::from(2 * LEAST_TRIED_OF_ROUTE)
--- a/src/gateway/rollout/controller.rs
+++ b/src/gateway/rollout/controller.rs
@@ -49,7 +49,7 @@
         }
         self.rollouts().order(service, revision, order, now);
         self.look_at_rollouts(now);
-        self.rollout_news.notify_one();
+        self.rollout_changed.notify_one();
     }
 
     /// Takes in the store's record of a roll-out.
@@ -68,7 +68,7 @@
         info!(service = service, state = state, why = why.as_str(); "roll-out");
         self.metrics.rollouts.with_label_values(&[state]).inc();
         self.look_at_rollouts(now);
-        self.rollout_news.notify_one();
+        self.rollout_changed.notify_one();
     }
 
     /// Where a request of `service` goes, which is drawn only if there is a roll-out.
@@ -165,7 +165,7 @@
     pub async fn run(mut self) {
         loop {
             if !self.gateway.rollouts().is_live(time::now()) {
-                self.gateway.rollout_news.notified().await;
+                self.gateway.rollout_changed.notified().await;
             }
             self.look(time::now()).await;
             sleep(LOOK).await;
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -190,8 +190,8 @@
     }
 
     /// Whether it has asked this daemon for rest, and still rests.
-    pub fn is_resting(&self, now: Instant) -> bool {
-        self.condition.rest(now).is_some()
+    pub fn is_backing_off(&self, now: Instant) -> bool {
+        self.condition.backoff(now).is_some()
     }
 
     /// Tells when the server is about to leave.
@@ -239,7 +239,7 @@
     }
 
     /// Whether this daemon has anything to tell others of it.
-    pub(super) fn has_news(&self, now: Instant) -> bool {
+    pub(super) fn has_unreported(&self, now: Instant) -> bool {
         self.own.runs > 0
             || self.outcomes.at(now).tried >= LEAST_TRIED
             || self.others_outcomes.matter()
--- a/src/gateway/servers.rs
+++ b/src/gateway/servers.rs
@@ -22,7 +22,7 @@
 
 use index::Index;
 use past::Past;
-pub use remarks::{News, Rested};
+pub use remarks::{Backoffs, NewRemarks};
 
 slotmap::new_key_type! {
     /// A backend server in this process's arena.
@@ -31,7 +31,7 @@
 
 /// What a daemon has learnt of servers otherwise than from the store, for the other daemons.
 #[derive(Debug, Clone, Default, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct Signs {
+pub struct Observations {
     /// Servers that leave, by their own word or because another one answers at their address.
     pub leaving: Vec<Tag>,
     /// Servers that refuse connections, and for how many milliseconds they are still passed over.
@@ -42,7 +42,7 @@
 
 /// Sums of what the other daemons told of servers, and of requests under which servers ended.
 #[derive(Debug, Default)]
-pub struct Heard {
+pub struct PeerStats {
     /// What all of them have running.
     pub loads: HashMap<Tag, Load>,
     /// How their exchanges went.
@@ -84,9 +84,9 @@
     /// Servers that the store no longer lists and that still have runs of this daemon.
     unlisted: Vec<ServerKey>,
     /// Servers that name a limit.
-    in_need: HashSet<ServerKey>,
+    limited: HashSet<ServerKey>,
     /// Servers that have asked this daemon for rest.
-    resting: HashSet<ServerKey>,
+    backing_off: HashSet<ServerKey>,
     past: Past,
     halls: Halls,
     /// Servers of each service that get nothing more, by version.
@@ -189,7 +189,7 @@
         if past.is_some() {
             self.noted.insert(key);
             self.note_limit(key, now);
-            self.resting.insert(key);
+            self.backing_off.insert(key);
         }
         key
     }
@@ -205,7 +205,7 @@
         if let Some(server) = self.arena.remove(key) {
             self.by_tag.remove(&server.tag);
             self.noted.remove(&key);
-            self.in_need.remove(&key);
+            self.limited.remove(&key);
             self.past.keep(server.tag, server.condition);
         }
     }
@@ -218,9 +218,9 @@
 
     /// Drops servers of which there is nothing to tell any more, and rests that are over.
     pub fn tidy(&mut self, now: Instant) {
-        self.end_rests(now);
+        self.end_backoffs(now);
         let arena = &self.arena;
-        self.noted.retain(|key| arena.get(*key).is_some_and(|server| server.has_news(now)));
+        self.noted.retain(|key| arena.get(*key).is_some_and(|server| server.has_unreported(now)));
     }
 
     /// The store no longer lists a server: what runs there goes on, nothing new is sent.
@@ -263,7 +263,7 @@
     /// been closed, and it doesn't rest.
     pub fn may_follow(&self, key: ServerKey, now: Instant) -> bool {
         self.arena.get(key).is_some_and(|server| {
-            self.halls.may_follow(&server.record.hall, now) && !server.is_resting(now)
+            self.halls.may_follow(&server.record.hall, now) && !server.is_backing_off(now)
         })
     }
 
@@ -313,7 +313,7 @@
     }
 
     /// What other daemons can't know from the store.
-    pub fn signs(&self, now: Instant) -> Signs {
+    pub fn observations(&self, now: Instant) -> Observations {
         let listed = || self.noted().filter(|(key, _)| self.is_listed(*key)).map(|(_, s)| s);
         let leaving = listed().filter(|s| s.leaves_untold()).map(|s| s.tag);
         let refusing = listed().filter(|s| !*s.leaving.borrow()).filter_map(|s| {
@@ -321,12 +321,21 @@
             Some((s.tag, u32::try_from(left.as_millis()).unwrap_or(u32::MAX)))
         });
         let limits = self.noted().filter_map(|(_, s)| Some((s.tag, s.condition.limit.told(now)?)));
-        Signs { leaving: leaving.collect(), refusing: refusing.collect(), limits: limits.collect() }
+        Observations {
+            leaving: leaving.collect(),
+            refusing: refusing.collect(),
+            limits: limits.collect(),
+        }
     }
 
     /// Takes over what another daemon has learnt of servers, told by a message sent at `sent` at the
     /// earliest. What passes is not taken over where that isn't known.
-    pub fn take_signs(&mut self, signs: &Signs, sent: Option<Instant>, now: Instant) {
+    pub fn merge_observations(
+        &mut self,
+        signs: &Observations,
+        sent: Option<Instant>,
+        now: Instant,
+    ) {
         let mut leaving = Vec::new();
         for tag in &signs.leaving {
             if let Some((key, server)) = self.unsure(*tag) {
@@ -363,7 +372,7 @@
     /// are suspected; none that rests, which wants no questions either.
     pub fn watched(&self, now: Instant) -> Vec<Watched> {
         let has_runs = |s: &Server| s.open() && s.own.once > 0;
-        let matters = |s: &Server| (has_runs(s) || s.suspected.is_some()) && !s.is_resting(now);
+        let matters = |s: &Server| (has_runs(s) || s.suspected.is_some()) && !s.is_backing_off(now);
         // Where it has runs or a suspicion, a server is noted.
         let watched = self.noted().filter(|(_, s)| matters(s));
         let watched = watched.map(|(key, s)| Watched {
@@ -473,7 +482,7 @@
 
     /// Sets what the other daemons have at each server and how their exchanges went. Servers that are
     /// not named have nothing of theirs.
-    pub fn set_others(&mut self, heard: &Heard) {
+    pub fn set_others(&mut self, heard: &PeerStats) {
         for key in std::mem::take(&mut self.heard) {
             if let Some(server) = self.arena.get_mut(key) {
                 (server.others, server.others_outcomes) = Default::default();
--- a/src/gateway/servers/limits.rs
+++ b/src/gateway/servers/limits.rs
@@ -2,7 +2,7 @@
 
 use super::{ServerKey, Servers, known};
 use crate::gateway::clock::before;
-use crate::gateway::limit::{LimitWord, Said, Share};
+use crate::gateway::limit::{LimitRemark, Said, Share};
 use crate::gateway::server::Server;
 use crate::gateway::tag::Tag;
 use log::info;
@@ -17,17 +17,17 @@
     pub fn says_limit(
         &mut self,
         key: ServerKey,
-        word: LimitWord,
+        remark: LimitRemark,
         asked: Instant,
         now: Instant,
     ) -> bool {
         let Some(server) = self.arena.get_mut(key) else {
             return false;
         };
-        let is_news = match word {
-            LimitWord::Free => server.condition.limit.hear(None, asked, now),
-            LimitWord::Rate(rate) => server.condition.limit.hear(Some(rate), now, now),
-            LimitWord::Unclear => false,
+        let is_news = match remark {
+            LimitRemark::Free => server.condition.limit.hear(None, asked, now),
+            LimitRemark::Rate(rate) => server.condition.limit.hear(Some(rate), now, now),
+            LimitRemark::Unclear => false,
         };
         self.note_limit(key, now);
         is_news
@@ -40,23 +40,23 @@
             self.noted.insert(key);
         }
         match limit.rate() {
-            Some(_) => self.in_need.insert(key),
-            None => self.in_need.remove(&key),
+            Some(_) => self.limited.insert(key),
+            None => self.limited.remove(&key),
         };
     }
 
     /// Servers of a service that name a limit and take new work.
-    pub fn in_need<'a>(
+    pub fn limited<'a>(
         &'a self,
         service: &'a str,
     ) -> impl Iterator<Item = (ServerKey, &'a Server)> {
-        let named = self.in_need.iter().filter_map(|key| Some((*key, self.arena.get(*key)?)));
+        let named = self.limited.iter().filter_map(|key| Some((*key, self.arena.get(*key)?)));
         named.filter(move |(_, server)| self.is_open(service, server))
     }
 
     /// Brings up to date what this daemon may send to servers in need, by its share of each.
     pub fn settle_limits(&mut self, service: &str, share: impl Fn(Tag) -> Share, now: Instant) {
-        let keys: Vec<ServerKey> = self.in_need(service).map(|(key, _)| key).collect();
+        let keys: Vec<ServerKey> = self.limited(service).map(|(key, _)| key).collect();
         for key in keys {
             let server = &mut self.arena[key];
             server.condition.limit.settle(share(server.tag), now);
@@ -64,14 +64,14 @@
     }
 
     /// Notes that a request goes to a server, in case it is in need.
-    pub fn takes_room(&mut self, key: ServerKey) {
+    pub fn use_quota(&mut self, key: ServerKey) {
         if let Some(server) = self.arena.get_mut(key) {
             server.condition.limit.take();
         }
     }
 
     /// Notes that a request does not go to a server after all.
-    pub fn gives_room_back(&mut self, key: ServerKey) {
+    pub fn return_quota(&mut self, key: ServerKey) {
         if let Some(server) = self.arena.get_mut(key) {
             server.condition.limit.give_back();
         }
@@ -81,24 +81,24 @@
     pub fn lend(&mut self, wanted: &[Tag]) -> Option<Tag> {
         let has_room = |key: &ServerKey| {
             let limit = &self.arena[*key].condition.limit;
-            limit.may_lend() && limit.room().is_some_and(|room| room >= 1.0)
+            limit.may_lend() && limit.quota().is_some_and(|room| room >= 1.0)
         };
         let mut known = wanted.iter().filter_map(|tag| self.by_tag.get(tag).copied());
         let key = known.find(has_room)?;
-        self.takes_room(key);
+        self.use_quota(key);
         Some(self.arena[key].tag)
     }
 
     /// Another daemon has given room for one request at a server.
     pub fn borrowed(&mut self, server: Tag) {
         if let Some(key) = self.by_tag.get(&server).copied() {
-            self.gives_room_back(key);
+            self.return_quota(key);
         }
     }
 
     /// How many servers name a limit.
-    pub fn count_in_need(&self) -> usize {
-        self.in_need.len()
+    pub fn count_limited(&self) -> usize {
+        self.limited.len()
     }
 
     /// Takes over what another daemon heard of limits, told by a message sent at `sent` at the earliest.
--- a/src/gateway/servers/past.rs
+++ b/src/gateway/servers/past.rs
@@ -8,7 +8,7 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Starts of which it is kept: more than a fleet's servers, so that all may be replaced while the store is away.
-const MOST_KEPT: usize = 8_192;
+const MAX_PAST: usize = 8_192;
 
 /// The conditions of starts that are not listed.
 #[derive(Debug, Default)]
@@ -26,7 +26,7 @@
         }
         self.conditions.insert(start, condition);
         self.order.push_back(start);
-        while self.order.len() > MOST_KEPT {
+        while self.order.len() > MAX_PAST {
             let oldest = self.order.pop_front();
             oldest.and_then(|start| self.conditions.remove(&start));
         }
--- a/src/gateway/servers/remarks.rs
+++ b/src/gateway/servers/remarks.rs
@@ -8,7 +8,7 @@
 
 /// What of an answer's words was not known before.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct News {
+pub struct NewRemarks {
     /// That the server leaves.
     pub leaves: bool,
     /// That it rests, or rests longer.
@@ -19,17 +19,17 @@
 
 /// Servers of a service that rest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Rested {
+pub struct Backoffs {
     /// Time until the first of them has rested; `None` where none rests.
     pub first: Option<Duration>,
     /// Whether all rest.
     pub all: bool,
 }
 
-impl Rested {
-    fn with(self, other: Rested) -> Rested {
+impl Backoffs {
+    fn with(self, other: Backoffs) -> Backoffs {
         let first = self.first.into_iter().chain(other.first).min();
-        Rested { first, all: self.all && other.all }
+        Backoffs { first, all: self.all && other.all }
     }
 }
 
@@ -41,39 +41,39 @@
         remarks: &Remarks,
         asked: Instant,
         now: Instant,
-    ) -> News {
+    ) -> NewRemarks {
         let limit = self.says_limit(key, remarks.limit, asked, now);
         let leaves = remarks.leaving && self.leaves(key, now);
         let Some(server) = self.arena.get_mut(key) else {
-            return News::default();
+            return NewRemarks::default();
         };
         let condition = &mut server.condition;
         if let Some(left) = remarks.cold {
             condition.cold.told(left, now);
         }
-        let rests = remarks.rest.is_some_and(|time| condition.rests(time, now));
+        let rests = remarks.backoff.is_some_and(|time| condition.extend_backoff(time, now));
         if rests {
-            self.resting.insert(key);
+            self.backing_off.insert(key);
         }
-        News { leaves, rests, limit }
+        NewRemarks { leaves, rests, limit }
     }
 
     /// Whether a server has asked this daemon for rest, and still rests.
-    pub fn is_resting(&self, key: ServerKey, now: Instant) -> bool {
-        self.arena.get(key).is_some_and(|server| server.is_resting(now))
+    pub fn is_backing_off(&self, key: ServerKey, now: Instant) -> bool {
+        self.arena.get(key).is_some_and(|server| server.is_backing_off(now))
     }
 
     /// How many servers rest, as of the last time at which it was looked.
-    pub fn count_resting(&self) -> usize {
-        self.resting.len()
+    pub fn count_backing_off(&self) -> usize {
+        self.backing_off.len()
     }
 
     /// Notes which servers' rests are over.
-    pub(super) fn end_rests(&mut self, now: Instant) {
+    pub(super) fn end_backoffs(&mut self, now: Instant) {
         let arena = &self.arena;
-        self.resting.retain(|key| {
+        self.backing_off.retain(|key| {
             let server = arena.get(*key);
-            let rests = server.is_some_and(|server| server.is_resting(now));
+            let rests = server.is_some_and(|server| server.is_backing_off(now));
             if let Some(server) = server.filter(|_| !rests) {
                 info!(server = &*server.record.id; "server's rest is over");
             }
@@ -82,17 +82,17 @@
     }
 
     /// When the first of a service's servers that `may_serve` will have rested; with `None`, there is no such server.
-    pub fn rested(
+    pub fn backoffs(
         &self,
         service: &str,
         may_serve: impl Fn(&Server) -> bool,
         now: Instant,
-    ) -> Option<Rested> {
+    ) -> Option<Backoffs> {
         let mut rested = None;
         for (_, server) in self.open(service).filter(|(_, server)| may_serve(server)) {
-            let left = server.condition.rest(now).map(|rest| rest.until - now);
-            let one = Rested { first: left, all: left.is_some() };
-            rested = Some(rested.map_or(one, |others: Rested| others.with(one)));
+            let left = server.condition.backoff(now).map(|rest| rest.until - now);
+            let one = Backoffs { first: left, all: left.is_some() };
+            rested = Some(rested.map_or(one, |others: Backoffs| others.with(one)));
         }
         rested
     }
--- a/src/gateway/slot.rs
+++ b/src/gateway/slot.rs
@@ -1,11 +1,11 @@
 //! Choosing a backend server for a request, and the slot that the request has there.
 
-use crate::gateway::admission::{self, Bound, Standing};
+use crate::gateway::admission::{self, AdmissionClass, Bound};
 use crate::gateway::budget::Repeat;
 use crate::gateway::core::Gateway;
-use crate::gateway::need::has_room;
+use crate::gateway::limited::has_quota;
 use crate::gateway::place::{
-    ALIKE, COPY_ALIKE, Candidate, FAR_COPY_COST, FAR_COST, Need, UNSEEN_COST,
+    ALIKE, COPY_ALIKE, Candidate, FAR_COPY_COST, FAR_COST, PlacementRequest, UNSEEN_COST,
 };
 use crate::gateway::port::Destination;
 use crate::gateway::request::Call;
@@ -21,7 +21,7 @@
 
 /// Time after which a load of another cell of the hall is heard, on average: a heartbeat of its daemon, the
 /// relays' and that of this cell's relay, half of each on average, and their ways.
-const TOLD_LATE: Duration = Duration::from_millis(70);
+const REPORT_DELAY: Duration = Duration::from_millis(70);
 
 /// Where a request runs.
 #[derive(Debug, Clone)]
@@ -83,7 +83,7 @@
 }
 
 /// The same as a part of the route's aim.
-const UNNOTICED_PART: f64 = 0.05;
+const UNNOTICED_FRACTION: f64 = 0.05;
 
 impl Slot {
     /// The server.
@@ -153,7 +153,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Terms {
     /// How it stands to those that wait.
-    standing: Standing,
+    admission_class: AdmissionClass,
     /// What may wait and run at its server.
     bound: Bound,
 }
@@ -191,7 +191,7 @@
         move |key, server| {
             !except.contains(&key)
                 && allowed.has(&server.record.hall)
-                && !server.is_resting(now)
+                && !server.is_backing_off(now)
                 && self.bears(service, server, now)
         }
     }
@@ -202,7 +202,7 @@
         if late == 0.0 {
             return 0.0;
         }
-        late * self.budget().rate(service, now) * TOLD_LATE.as_secs_f64()
+        late * self.budget().rate(service, now) * REPORT_DELAY.as_secs_f64()
     }
 
     /// Takes in what came from other daemons since the last time.
@@ -212,7 +212,7 @@
             self.rollouts().set_others(&heard.rollouts, now);
             self.quarantine().set_others(&heard.evidence, now);
             if !heard.evidence.is_empty() {
-                self.quarantine_news.notify_one();
+                self.quarantine_changed.notify_one();
             }
         }
     }
@@ -222,12 +222,12 @@
         self: &Arc<Self>,
         service: &Service,
         call: &Call,
-        standing: Standing,
+        admission_class: AdmissionClass,
         tried: &[ServerKey],
         now: Instant,
     ) -> Result<Slot, NoSlot> {
         self.listen(now);
-        if let Some(left) = self.quarantine().kept_back(call.fingerprint(), now) {
+        if let Some(left) = self.quarantine().quarantined_for(call.fingerprint(), now) {
             return Err(NoSlot { why: "ends_servers", come_back: left, due: None });
         }
         let engine = service.engine.as_ref();
@@ -235,12 +235,12 @@
         let divided = self.divided.load(Ordering::Relaxed);
         let far = if divided { UNSEEN_COST } else { FAR_COST };
         let unseen = self.unseen(&service.name, now);
-        let need = Need { hall: &self.hall, far, alike: ALIKE, unseen, load, engine };
+        let need = PlacementRequest { hall: &self.hall, far, alike: ALIKE, unseen, load, engine };
         let bound = match engine {
-            Some(engine) => Bound::of(self.aim(service, call), engine, standing),
+            Some(engine) => Bound::of(self.aim(service, call), engine, admission_class),
             None => Bound::NONE,
         };
-        let terms = Terms { standing, bound };
+        let terms = Terms { admission_class: admission_class, bound };
         let draw = || match tried {
             [] => Draw::first(&call.route.name, &call.id),
             _ => Draw::Again,
@@ -263,13 +263,13 @@
         self: &Arc<Self>,
         service: &Service,
         call: &Call,
-        standing: Standing,
+        admission_class: AdmissionClass,
         tried: &[ServerKey],
         now: Instant,
     ) -> Result<Slot, NoSlot> {
-        let slot = self.slot(service, call, standing, tried, now)?;
+        let slot = self.slot(service, call, admission_class, tried, now)?;
         if !self.take_repeat(&service.name, Repeat::Retry, now) {
-            self.servers().gives_room_back(slot.key());
+            self.servers().return_quota(slot.key());
             return Err("no_repeat_left".into());
         }
         Ok(slot)
@@ -300,8 +300,8 @@
         let engine = service.engine.as_ref();
         let load = Load { reading: 0, arriving: source.load.tokens, ..source.load };
         let (hall, far) = (source.hall.as_str(), FAR_COPY_COST);
-        let need = Need { hall, far, alike: COPY_ALIKE, unseen: 0.0, load, engine };
-        let terms = Terms { standing: Standing::Begun, bound: Bound::NONE };
+        let need = PlacementRequest { hall, far, alike: COPY_ALIKE, unseen: 0.0, load, engine };
+        let terms = Terms { admission_class: AdmissionClass::Begun, bound: Bound::NONE };
         let pick = self.pick(&service.name, || Draw::Again, now);
         let among = Among { except: refused, pick: pick.as_ref() };
         self.choose_slot(service, &need, call, terms, among, now).ok()
@@ -310,31 +310,31 @@
     fn choose_slot(
         self: &Arc<Self>,
         service: &Service,
-        need: &Need<'_>,
+        request: &PlacementRequest<'_>,
         call: &Call,
         terms: Terms,
         among: Among<'_>,
         now: Instant,
     ) -> Result<Slot, NoSlot> {
-        let load = need.load;
+        let load = request.load;
         let may_take = self.may_take(service, call, among.except, now);
         let admits = |key, server: &Server| among.pick.is_none_or(|pick| pick.admits(key, server));
         let may_take = |key, server: &Server| admits(key, server) && may_take(key, server);
         let mut servers = self.servers();
-        let room = self.room_in_need(&mut servers, &service.name, may_take, now);
+        let room = self.limited_quota(&mut servers, &service.name, may_take, now);
         let may_use =
-            room.is_some_and(|room| self.may_use(room, &service.name, terms.standing, now));
-        let may_take = |key, server: &Server| may_take(key, server) && has_room(server, may_use);
-        let candidates = candidates(&servers, service, need.hall, may_take, now);
+            room.is_some_and(|room| self.may_use(room, &service.name, terms.admission_class, now));
+        let may_take = |key, server: &Server| may_take(key, server) && has_quota(server, may_use);
+        let candidates = candidates(&servers, service, request.hall, may_take, now);
         // What is unseen lies at all servers, drawn or not.
         let all = servers.count(&service.name);
         let drawn = if all > MOST_LOOKED_AT { candidates.len() as f64 / all as f64 } else { 1.0 };
-        let need = &Need { unseen: need.unseen * drawn, ..*need };
+        let need = &PlacementRequest { unseen: request.unseen * drawn, ..*request };
         let chosen = self.placing.choose(&candidates, need, now, &mut rand::rng());
         let Some(key) = chosen else {
-            let in_need = room.map(|room| self.no_room(room, &service.name, call, now));
+            let in_need = room.map(|room| self.no_quota(room, &service.name, call, now));
             let why = in_need.unwrap_or("no_server".into());
-            return Err(self.after_rest(why, &servers, service, call, now));
+            return Err(self.after_backoff(why, &servers, service, call, now));
         };
         let there = servers.get(key).map(Server::load).unwrap_or_default();
         if !terms.bound.holds(there) {
@@ -345,8 +345,8 @@
             servers.sends_cold(key, now);
         }
         if servers.get(key).is_some_and(|server| server.limit().rate().is_some()) {
-            servers.takes_room(key);
-            self.redeem(&service.name, terms.standing, now);
+            servers.use_quota(key);
+            self.redeem(&service.name, terms.admission_class, now);
         }
         servers.begin(key, load);
         self.work.notify_one();
@@ -357,7 +357,7 @@
         let notice = server.notice();
         let stratum =
             self.rollouts().stratum(&service.name, &call.route.name, &server.record.version);
-        let least = call.route.aim.mul_f64(UNNOTICED_PART);
+        let least = call.route.aim.mul_f64(UNNOTICED_FRACTION);
         let trial = stratum.map(|stratum| Trial { stratum, sent: now, least });
         let (gateway, waiting) = (self.clone(), there.reading);
         Ok(Slot { gateway, place, notice, knowledge: None, waiting, trial })
--- a/src/gateway/sums.rs
+++ b/src/gateway/sums.rs
@@ -8,7 +8,7 @@
 use crate::gateway::cell::CellId;
 use crate::gateway::clock::{Clock, before, millis};
 use crate::gateway::fingerprint::Fingerprint;
-use crate::gateway::heartbeat::{Origin, Sum, Told};
+use crate::gateway::heartbeat::{DaemonStats, Origin, Sum};
 use crate::gateway::outcomes::Outcomes;
 use crate::gateway::quarantine::{Evidence, most_ended};
 use crate::gateway::rollout;
@@ -43,7 +43,7 @@
 }
 
 #[derive(Debug)]
-struct Held {
+struct StoredSum {
     sum: Sum,
     /// The earliest moment at which it can have been made.
     made: Instant,
@@ -52,7 +52,7 @@
     way: Way,
 }
 
-impl Held {
+impl StoredSum {
     fn counts(&self, now: Instant) -> bool {
         let lapse = match self.sum.origin {
             Origin::Cell(_) => CELL_LAPSE,
@@ -65,7 +65,7 @@
 /// The latest sum of each origin.
 #[derive(Debug, Default)]
 pub(crate) struct Sums {
-    held: HashMap<Origin, Held>,
+    by_origin: HashMap<Origin, StoredSum>,
 }
 
 impl Sums {
@@ -74,30 +74,31 @@
         let Some(made) = before(sent, sum.age_ms) else {
             return;
         };
-        let held = Held { sum: sum.clone(), made, came: now, way };
-        let newer =
-            self.held.get(&sum.origin).is_none_or(|known| match known.sum.maker == sum.maker {
+        let held = StoredSum { sum: sum.clone(), made, came: now, way };
+        let newer = self.by_origin.get(&sum.origin).is_none_or(|known| {
+            match known.sum.maker == sum.maker {
                 true => known.sum.made < sum.made,
                 false => made.saturating_duration_since(known.made) > OTHER_MAKER,
-            });
+            }
+        });
         if newer && held.counts(now) {
-            self.held.insert(sum.origin, held);
+            self.by_origin.insert(sum.origin, held);
         }
     }
 
     /// Forgets what no longer counts.
     pub(crate) fn forget(&mut self, now: Instant) {
-        self.held.retain(|_, held| held.counts(now));
+        self.by_origin.retain(|_, held| held.counts(now));
     }
 
     /// Sums of cells of `hall` but `own`, of which no two hold the same daemon and none one of `near`.
     pub(crate) fn cells(&self, own: CellId, near: HashSet<Tag>, now: Instant) -> Vec<&Sum> {
-        let wanted = |held: &&Held| match held.sum.origin {
+        let wanted = |held: &&StoredSum| match held.sum.origin {
             Origin::Cell(id) => id != own && id.hall == own.hall,
             Origin::Hall(_) | Origin::OtherHalls => false,
         };
-        let mut cells: Vec<&Held> =
-            self.held.values().filter(wanted).filter(|held| held.counts(now)).collect();
+        let mut cells: Vec<&StoredSum> =
+            self.by_origin.values().filter(wanted).filter(|held| held.counts(now)).collect();
         cells.sort_by_key(|held| (std::cmp::Reverse(held.made), held.sum.maker));
         let mut counted = near;
         let mut disjoint = Vec::new();
@@ -113,7 +114,7 @@
     /// Sums of other halls: for a relay each hall's own, for its cell what the relay made of them. A
     /// daemon that has just become a relay, or has just lost its own, has the other ones for a while.
     pub(crate) fn halls(&self, relay: bool, now: Instant) -> Vec<&Sum> {
-        let counts = self.held.values().filter(|held| held.counts(now)).map(|held| &held.sum);
+        let counts = self.by_origin.values().filter(|held| held.counts(now)).map(|held| &held.sum);
         let (halls, others): (Vec<&Sum>, Vec<&Sum>) = counts
             .filter(|sum| !matches!(sum.origin, Origin::Cell(_)))
             .partition(|sum| matches!(sum.origin, Origin::Hall(_)));
@@ -128,7 +129,7 @@
         last: Option<Instant>,
         now: Instant,
     ) -> impl Iterator<Item = Sum> {
-        let came = self.held.values().filter(move |held| wanted(held.sum.origin, held.way));
+        let came = self.by_origin.values().filter(move |held| wanted(held.sum.origin, held.way));
         let fresh = came.filter(move |held| held.counts(now) && Some(held.came) > last);
         fresh.map(move |held| Sum { age_ms: millis(held.made, now), ..held.sum.clone() })
     }
@@ -153,7 +154,7 @@
 
 impl Adder {
     /// Adds what was told.
-    pub(crate) fn add(&mut self, told: &Told) {
+    pub(crate) fn add(&mut self, told: &DaemonStats) {
         add(&mut self.loads, &told.loads);
         add(&mut self.spent, &told.spent);
         add(&mut self.outcomes, &told.outcomes);
@@ -168,7 +169,7 @@
     }
 
     /// Adds one daemon's word; `entry` is where callers may be sent to it.
-    pub(crate) fn add_daemon(&mut self, name: Tag, told: &Told, entry: Option<SocketAddr>) {
+    pub(crate) fn add_daemon(&mut self, name: Tag, told: &DaemonStats, entry: Option<SocketAddr>) {
         self.add(told);
         self.members.push(name);
         self.daemons += 1;
@@ -199,7 +200,7 @@
             members: self.members,
             daemons: self.daemons,
             entries: self.entries,
-            told: Told {
+            told: DaemonStats {
                 loads: self.loads.into_iter().collect(),
                 spent: self.spent.into_iter().collect(),
                 outcomes: self.outcomes.into_iter().collect(),
--- a/src/gateway/suspicion.rs
+++ b/src/gateway/suspicion.rs
@@ -45,7 +45,7 @@
         }
         let (request, now) = (call.fingerprint(), time::now());
         let proved = self.quarantine().ended(request, slot.place.tag, run, now);
-        self.quarantine_news.notify_one();
+        self.quarantine_changed.notify_one();
         self.metrics.ended_servers.inc();
         let name = request.to_string();
         warn!(id = call.id.as_str(), request = name.as_str(), server = slot.id(), proved = proved; "server ended under a request");
@@ -63,7 +63,7 @@
     loop {
         if gateway.quarantine().is_empty() {
             gateway.metrics.quarantined.set(0);
-            gateway.quarantine_news.notified().await;
+            gateway.quarantine_changed.notified().await;
         }
         sleep(LOOK).await;
         let (proved, lost, count) = {
--- a/src/gateway/update.rs
+++ b/src/gateway/update.rs
@@ -7,7 +7,7 @@
 
 /// What a daemon says of its copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Statement {
+pub struct CopyStatus {
     /// The position up to which nothing is missing.
     pub position: Position,
     /// The last change that matters.
@@ -85,9 +85,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// How the giver's copy stands.
-    pub statement: Statement,
+    pub copy_status: CopyStatus,
     /// Whether the cells are all there is: other keys are gone.
-    pub whole: bool,
+    pub full: bool,
     /// Whether the cells have every change; otherwise large values were left out.
     pub complete: bool,
     /// Where the giver's first read of the whole store in this era stood: what is later was written in this era.
--- a/src/gateway/view.rs
+++ b/src/gateway/view.rs
@@ -3,10 +3,10 @@
 use crate::gateway::budget::{Near, Others};
 use crate::gateway::cell::{CellId, Layout, rank};
 use crate::gateway::clock::{Clock, Echo, before, micros, millis};
-use crate::gateway::heartbeat::{Heartbeat, Origin, Sum, Told};
+use crate::gateway::heartbeat::{DaemonStats, Heartbeat, Origin, Sum};
 use crate::gateway::partner::{self, Pace, Relation, Stretch};
 use crate::gateway::roster::{Daemon, Listing};
-use crate::gateway::servers::{Heard, Load, Signs};
+use crate::gateway::servers::{Load, Observations, PeerStats};
 use crate::gateway::sums::{Adder, LEAST_ENTRIES, Sums, Way, add, halls_of};
 use crate::gateway::tag::Tag;
 use log::info;
@@ -41,7 +41,7 @@
     boot: u64,
     /// Its clock in its last heartbeat.
     stamp: u64,
-    heard: Instant,
+    last_seen: Instant,
     /// Time within which its next heartbeat follows.
     pause: Duration,
     ready: bool,
@@ -49,14 +49,14 @@
     chose: bool,
     cell: CellId,
     /// Its own; nothing where it is of another cell.
-    told: Told,
+    stats: DaemonStats,
 }
 
 /// What a daemon tells of itself.
 #[derive(Debug, Clone, Default)]
 pub struct Own {
     /// What it has running and has spent.
-    pub told: Told,
+    pub told: DaemonStats,
     /// Whether callers may be sent to it.
     pub ready: bool,
 }
@@ -133,7 +133,7 @@
         now: Instant,
     ) {
         let is_listed = |addr: &SocketAddr| listing.peers.contains(addr);
-        self.peers.retain(|addr, peer| is_listed(addr) || since(peer.heard, now) <= FORGOTTEN);
+        self.peers.retain(|addr, peer| is_listed(addr) || since(peer.last_seen, now) <= FORGOTTEN);
         self.sums.forget(now);
         let partners = self.layout.partners();
         let missed: Vec<SocketAddr> =
@@ -181,7 +181,7 @@
     /// Whether a daemon, which is being greeted since `tried`, does not answer.
     fn is_silent(&self, addr: SocketAddr, tried: Option<Instant>, now: Instant) -> bool {
         let peer = self.peers.get(&addr);
-        let from = peer.map(|p| p.heard).max(tried);
+        let from = peer.map(|p| p.last_seen).max(tried);
         let silent = peer.map_or(SILENT, |p| self.silence(p));
         from.is_some_and(|from| since(from, now) > silent)
     }
@@ -208,12 +208,12 @@
             tag: Tag::of(&heartbeat.daemon.vm),
             boot: heartbeat.boot,
             stamp: heartbeat.stamp,
-            heard: now,
+            last_seen: now,
             pause: Duration::from_millis(heartbeat.pause_ms.into()).min(LONGEST_PAUSE),
             ready: heartbeat.ready,
             chose: heartbeat.chosen,
             cell: heartbeat.cell,
-            told: heartbeat.told.clone(),
+            stats: heartbeat.stats.clone(),
         };
         self.peers.insert(addr, peer);
         self.missed.remove(&addr);
@@ -253,7 +253,7 @@
     /// The clock of a daemon, to be returned to it.
     pub fn echo(&self, addr: SocketAddr, now: Instant) -> Option<Echo> {
         let peer = self.peers.get(&addr)?;
-        Some(Echo { boot: peer.boot, stamp: peer.stamp, held: micros(peer.heard, now) })
+        Some(Echo { boot: peer.boot, stamp: peer.stamp, held: micros(peer.last_seen, now) })
     }
 
     /// Whether a daemon has been heard and is not forgotten.
@@ -263,11 +263,11 @@
 
     /// Whether a daemon is heard.
     pub fn hears(&self, addr: SocketAddr, now: Instant) -> bool {
-        self.peers.get(&addr).is_some_and(|p| self.is_heard(p, now))
+        self.peers.get(&addr).is_some_and(|p| self.is_reachable(p, now))
     }
 
-    fn is_heard(&self, peer: &Peer, now: Instant) -> bool {
-        since(peer.heard, now) <= self.silence(peer)
+    fn is_reachable(&self, peer: &Peer, now: Instant) -> bool {
+        since(peer.last_seen, now) <= self.silence(peer)
     }
 
     /// Silence after which a daemon is taken as gone for now.
@@ -349,7 +349,7 @@
     /// Where callers may be sent in other cells and halls, as far as they are heard.
     pub fn far_entries(&self, now: Instant) -> Vec<SocketAddr> {
         let others = self.peers.values().filter(|p| p.cell != self.layout.own);
-        let heard = others.filter(|p| p.ready && self.is_heard(p, now));
+        let heard = others.filter(|p| p.ready && self.is_reachable(p, now));
         let told = self.other_cells(now).into_iter().chain(self.other_halls(now));
         let told = told.flat_map(|sum| sum.entries.iter().copied());
         heard.map(|p| p.daemon.callers).chain(told).collect()
@@ -379,14 +379,14 @@
             // Pauses are drawn up to a tenth longer.
             pause_ms: self.pause(to, relation, now).mul_f64(1.1).as_millis() as u32,
             chosen: chosen || relation == Relation::Unknown,
-            statement: None,
+            copy_status: None,
             read_ms: self.read.map(|at| millis(at, now)),
             failed_ms: None,
             cell: layout.own,
             others: if near { named.collect() } else { Vec::new() },
             sums,
-            told: if near { own.told } else { Told::default() },
-            signs: Signs::default(),
+            stats: if near { own.told } else { DaemonStats::default() },
+            observations: Observations::default(),
         }
     }
 
@@ -431,7 +431,7 @@
         let mut adder = Adder::default();
         adder.add_daemon(self.tag, &own.told, own.ready.then_some(self.own.callers));
         for peer in self.near(now) {
-            adder.add_daemon(peer.tag, &peer.told, peer.ready.then_some(peer.daemon.callers));
+            adder.add_daemon(peer.tag, &peer.stats, peer.ready.then_some(peer.daemon.callers));
         }
         adder.sum(Origin::Cell(self.layout.own), &self.clock, now)
     }
@@ -464,21 +464,21 @@
     }
 
     /// What the other daemons told of servers, and of requests under which servers ended.
-    pub fn heard(&self, now: Instant) -> Heard {
+    pub fn heard(&self, now: Instant) -> PeerStats {
         let mut adder = Adder::default();
-        self.near(now).for_each(|peer| adder.add(&peer.told));
+        self.near(now).for_each(|peer| adder.add(&peer.stats));
         for sum in self.distant(now) {
             adder.add(&sum.told);
         }
         let Adder { loads, outcomes, evidence, rollouts, .. } = adder;
-        Heard { loads, outcomes, evidence, rollouts }
+        PeerStats { loads, outcomes, evidence, rollouts }
     }
 
     /// What the daemons of the same cell that rank before this one have running at a server.
     pub fn ahead(&self, server: Tag, now: Instant) -> Load {
         let mut ahead = Load::default();
         for peer in self.near(now).filter(|peer| peer.tag < self.tag) {
-            let there = peer.told.loads.iter().filter(|(tag, _)| *tag == server);
+            let there = peer.stats.loads.iter().filter(|(tag, _)| *tag == server);
             there.for_each(|(_, load)| ahead += *load);
         }
         ahead
@@ -491,7 +491,7 @@
         let mut near = Near { own: self.tag, ..Near::default() };
         for peer in self.near(now) {
             near.others.push(peer.tag);
-            add(&mut near.spent, &peer.told.spent);
+            add(&mut near.spent, &peer.stats.spent);
         }
         let mut heard = near.others.len();
         for (service, own) in &near.spent {
@@ -501,7 +501,7 @@
             heard += sum.daemons as usize;
             add(&mut spent, &sum.told.spent);
         }
-        let lately = self.peers.values().filter(|p| since(p.heard, now) <= FORGOTTEN).count();
+        let lately = self.peers.values().filter(|p| since(p.last_seen, now) <= FORGOTTEN).count();
         Others { daemons: listed.max(lately).max(heard), heard, spent, near }
     }
 
@@ -521,7 +521,7 @@
     /// The daemons of this cell that are heard.
     fn near(&self, now: Instant) -> impl Iterator<Item = &Peer> {
         let same = self.peers.values().filter(|p| p.cell == self.layout.own);
-        same.filter(move |p| self.is_heard(p, now))
+        same.filter(move |p| self.is_reachable(p, now))
     }
 
     /// Sums of the hall's other cells.
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -1,6 +1,6 @@
 //! One daemon's share of the talk between daemons: heartbeats, configuration, claims.
 
-use crate::claim::{ClaimAsk, Claimed, Kept};
+use crate::claim::{ClaimAsk, Claimed, StoredAnswer};
 use crate::follow::InForce;
 use crate::grant::Keeper;
 use crate::journal::{Journal, SHARDS};
@@ -146,7 +146,7 @@
         self.fetching.store(false, Ordering::Release);
         match reply {
             Ok(Reply::Changes(items)) => self.in_force.take_changes(items),
-            Ok(Reply::Whole { revision, items }) => self.in_force.take_whole(revision, items),
+            Ok(Reply::Snapshot { revision, items }) => self.in_force.replace_all(revision, items),
             _ => {}
         }
     }
@@ -167,11 +167,11 @@
     }
 
     /// Keeps the outcome of a claim, or with `None` gives it back.
-    pub async fn settle(self: &Arc<Self>, claim: ClaimAsk, kept: Option<Kept>) {
+    pub async fn settle(self: &Arc<Self>, claim: ClaimAsk, kept: Option<StoredAnswer>) {
         if let Some(holder) = self.shard_holder(claim) {
             let handler = self.handler();
             let request =
-                Request::Settle { key: claim.key, nonce: claim.nonce, kept: kept.clone() };
+                Request::Settle { key: claim.key, nonce: claim.nonce, answer: kept.clone() };
             if let Ok(Reply::Done) = self.peers.ask(holder, &request, CLAIM_LIMIT, &handler).await {
                 return;
             }
@@ -259,7 +259,7 @@
                 // Handed to `place` before it gets here.
                 Request::Place(_) => Reply::NotUnderstood,
                 Request::Claim(claim) => Reply::Claimed(self.0.journal.claim(claim).await),
-                Request::Settle { key, nonce, kept } => {
+                Request::Settle { key, nonce, answer: kept } => {
                     self.0.journal.settle(key, nonce, kept).await;
                     Reply::Done
                 }
--- a/src/journal.rs
+++ b/src/journal.rs
@@ -4,7 +4,7 @@
 //! the next one is the arbiter: a daemon that has not read all before it lands
 //! on a taken number and fails. Many claims share one segment.
 
-use crate::claim::{ClaimAsk, ClaimKey, Claimed, Kept, Nonce};
+use crate::claim::{ClaimAsk, ClaimKey, Claimed, Nonce, StoredAnswer};
 use crate::metrics::Metrics;
 use crate::platform::{Expect, Platform, PlatformError, ROOT, Swap};
 use crate::segment::{Claim, Record, Segment};
@@ -23,7 +23,7 @@
 /// Most records in one segment.
 const MOST_RECORDS: usize = 512;
 /// Largest body kept with an outcome, in bytes.
-pub const KEPT_BYTES: usize = 4 << 10;
+pub const MAX_STORED_ANSWER_BYTES: usize = 4 << 10;
 /// How long an append without an answer is settled by reading before its claimants are refused.
 const SETTLE: Duration = Duration::from_millis(2_000);
 const SETTLE_STEP: Duration = Duration::from_millis(50);
@@ -86,7 +86,7 @@
     }
 
     /// Keeps the outcome of a claim, or with `None` gives it back, its call not having run.
-    pub async fn settle(&self, key: ClaimKey, nonce: Nonce, kept: Option<Kept>) {
+    pub async fn settle(&self, key: ClaimKey, nonce: Nonce, kept: Option<StoredAnswer>) {
         let record = match kept {
             Some(kept) => Record::Settle { key, nonce, kept },
             None => Record::Release { key, nonce },
@@ -181,7 +181,7 @@
         if !self.loaded && self.catch_up().await.is_err() {
             return refuse(asks);
         }
-        let open = |a: &Ask| self.claims.get(&a.claim.key).is_some_and(|c| c.kept.is_none());
+        let open = |a: &Ask| self.claims.get(&a.claim.key).is_some_and(|c| c.answer.is_none());
         if asks.iter().any(open) && self.catch_up().await.is_err() {
             return refuse(asks);
         }
@@ -377,16 +377,16 @@
     fn apply_record(&mut self, record: &Record, segment: u64) {
         match record {
             Record::Claim { key, nonce, body } => {
-                let claim = Claim { nonce: *nonce, body: *body, kept: None, segment };
+                let claim = Claim { nonce: *nonce, body: *body, answer: None, segment };
                 self.claims.entry(*key).or_insert(claim);
             }
             Record::Settle { key, nonce, kept } => {
                 if let Some(claim) = self.claims.get_mut(key).filter(|c| c.nonce == *nonce) {
-                    claim.kept = Some(kept.clone());
+                    claim.answer = Some(kept.clone());
                 }
             }
             Record::Release { key, nonce } => {
-                let open = |c: &Claim| c.nonce == *nonce && c.kept.is_none();
+                let open = |c: &Claim| c.nonce == *nonce && c.answer.is_none();
                 if self.claims.get(key).is_some_and(open) {
                     self.claims.remove(key);
                 }
--- a/src/member.rs
+++ b/src/member.rs
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 struct Member {
     record: Record,
-    heard: Instant,
+    last_seen: Instant,
 }
 
 /// The table of one daemon.
@@ -102,7 +102,7 @@
         }
         match self.others.get_mut(&record.vm) {
             None => {
-                self.others.insert(record.vm.clone(), Member { record, heard: now });
+                self.others.insert(record.vm.clone(), Member { record, last_seen: now });
                 true
             }
             Some(known) => {
@@ -116,7 +116,7 @@
                 }
                 known.record = record;
                 known.record.leaving |= leaves;
-                known.heard = now;
+                known.last_seen = now;
                 true
             }
         }
@@ -128,13 +128,13 @@
         if slept > self.beat * 3 {
             // This process was paused: silence meanwhile says nothing of the others.
             for member in self.others.values_mut() {
-                member.heard += slept;
+                member.last_seen += slept;
             }
         }
         self.ticked = now;
         self.own.beat += 1;
         let dead = self.beat * DEAD_BEATS + TOMBSTONE;
-        self.others.retain(|_, m| now.saturating_duration_since(m.heard) < dead);
+        self.others.retain(|_, m| now.saturating_duration_since(m.last_seen) < dead);
         let hall = self.own.hall.clone();
         let first = self.rank(&hall, "gateway", now).into_iter().take(GATEWAYS);
         self.own.gateway = first.into_iter().any(|vm| vm == self.own.vm);
@@ -150,7 +150,7 @@
     }
 
     fn seems(&self, member: &Member, now: Instant) -> Standing {
-        let silent = now.saturating_duration_since(member.heard);
+        let silent = now.saturating_duration_since(member.last_seen);
         if silent > self.beat * DEAD_BEATS {
             Standing::Dead
         } else if silent > self.beat * SUSPECT_BEATS {
--- a/src/message.rs
+++ b/src/message.rs
@@ -1,7 +1,7 @@
 //! Messages between daemons: a version byte, then `postcard`.
 
 use crate::ask::Ask;
-use crate::claim::{ClaimAsk, ClaimKey, Claimed, Kept, Nonce};
+use crate::claim::{ClaimAsk, ClaimKey, Claimed, Nonce, StoredAnswer};
 use crate::member::Record;
 use crate::replica::Signal;
 use serde::{Deserialize, Serialize};
@@ -37,7 +37,7 @@
         /// Its claim.
         nonce: Nonce,
         /// The answer; `None` gives the claim back.
-        kept: Option<Kept>,
+        answer: Option<StoredAnswer>,
     },
 }
 
@@ -97,7 +97,7 @@
     /// Changes after the asker's revision, in order.
     Changes(Vec<Item>),
     /// Everything, at this revision.
-    Whole {
+    Snapshot {
         /// The revision.
         revision: u64,
         /// All keys.
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -24,7 +24,7 @@
 /// Largest message that is told unasked, in bytes: one with the loads of some 20,000 servers.
 const MOST_TOLD: usize = 512 << 10;
 /// Such messages that one peer may have on their way, each on its stream: one heartbeat follows the other.
-const TOLD_AT_ONCE: u32 = 4;
+const MAX_CONCURRENT_MESSAGES: u32 = 4;
 const LENGTH_BYTES: usize = 4;
 
 /// How connections to peers are kept.
@@ -89,7 +89,7 @@
         let mut transport = TransportConfig::default();
         transport.max_idle_timeout(Some(IdleTimeout::from(VarInt::from_u32(limits.idle_ms))));
         transport.max_concurrent_bidi_streams(VarInt::from_u32(limits.streams));
-        transport.max_concurrent_uni_streams(VarInt::from_u32(TOLD_AT_ONCE));
+        transport.max_concurrent_uni_streams(VarInt::from_u32(MAX_CONCURRENT_MESSAGES));
         let transport = Arc::new(transport);
         let mut server = ServerConfig::with_crypto(identity.server()?);
         server.transport_config(transport.clone());
@@ -146,7 +146,7 @@
         let fits = link.max_datagram_size().is_some_and(|most| bytes.len() <= most);
         let told = match fits {
             true => link.send_datagram(bytes.into()).map_err(|e| e.to_string()),
-            false => timeout(CONNECT_LIMIT, send_whole(&link, &bytes))
+            false => timeout(CONNECT_LIMIT, send_on_stream(&link, &bytes))
                 .await
                 .unwrap_or_else(|_| Err("no stream in time".into())),
         };
@@ -342,7 +342,7 @@
 }
 
 /// Sends a message on a stream of its own.
-async fn send_whole(link: &Connection, bytes: &[u8]) -> Result<(), String> {
+async fn send_on_stream(link: &Connection, bytes: &[u8]) -> Result<(), String> {
     let mut stream = link.open_uni().await.map_err(|e| e.to_string())?;
     stream.write_all(bytes).await.map_err(|e| e.to_string())?;
     stream.finish().map_err(|e| e.to_string())
--- a/src/reader.rs
+++ b/src/reader.rs
@@ -94,18 +94,18 @@
 
 /// Holds the answer until it is whole, so that it can be placed anew at any point.
 #[derive(Default)]
-pub struct WholeReader {
+pub struct CompleteReader {
     text: String,
 }
 
-impl WholeReader {
+impl CompleteReader {
     /// The text so far.
     pub fn text(&self) -> &str {
         &self.text
     }
 }
 
-impl Reader for WholeReader {
+impl Reader for CompleteReader {
     fn accepted(&mut self, _: GenerationId, _: &Slot) -> BoxFuture<'_, Delivery> {
         std::future::ready(Delivery::Taken).boxed()
     }
--- a/src/segment.rs
+++ b/src/segment.rs
@@ -1,6 +1,6 @@
 //! What the journal writes: records, the segments that hold them, and what they come to for a key.
 
-use crate::claim::{ClaimKey, Claimed, Kept, Nonce};
+use crate::claim::{ClaimKey, Claimed, Nonce, StoredAnswer};
 use serde::{Deserialize, Serialize};
 
 /// About how many bytes a record takes without its body.
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum Record {
     Claim { key: ClaimKey, nonce: Nonce, body: u128 },
-    Settle { key: ClaimKey, nonce: Nonce, kept: Kept },
+    Settle { key: ClaimKey, nonce: Nonce, kept: StoredAnswer },
     Release { key: ClaimKey, nonce: Nonce },
 }
 
@@ -40,7 +40,7 @@
     pub nonce: Nonce,
     pub body: u128,
     /// The outcome, once it is settled.
-    pub kept: Option<Kept>,
+    pub answer: Option<StoredAnswer>,
     /// Number of the segment that claimed it.
     pub segment: u64,
 }
@@ -51,7 +51,7 @@
         if self.body != body {
             return Claimed::Mismatch;
         }
-        match &self.kept {
+        match &self.answer {
             Some(kept) => Claimed::Settled(kept.clone()),
             None if self.nonce == nonce => Claimed::Yours,
             None => Claimed::Taken,
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -8,7 +8,7 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use tidestair::gateway::admission::{Bound, Standing, come_back, patience};
+use tidestair::gateway::admission::{AdmissionClass, Bound, come_back, patience};
 use tidestair::gateway::servers::Load;
 use tidestair::gateway::table::Engine;
 
@@ -36,7 +36,7 @@
 struct Request {
     prompt: u32,
     draft: bool,
-    standing: Standing,
+    standing: AdmissionClass,
 }
 
 impl Request {
@@ -88,7 +88,7 @@
     for ms in 0..DAY_MS {
         if rng.random_bool(a_ms.min(1.0)) {
             let prompt = rng.random_range(800..4_800);
-            let (draft, standing) = (rng.random_bool(1.0 / 3.0), Standing::Newcomer);
+            let (draft, standing) = (rng.random_bool(1.0 / 3.0), AdmissionClass::Newcomer);
             add(&mut events, ms, Event::Comes(Request { prompt, draft, standing }));
         }
     }
@@ -98,7 +98,7 @@
     while let Some(((now, _), event)) = events.pop_first() {
         match event {
             Event::Comes(request) => {
-                let first = request.standing == Standing::Newcomer;
+                let first = request.standing == AdmissionClass::Newcomer;
                 let large = request.prompt > LARGE;
                 if first {
                     day.asked += 1.0;
@@ -110,7 +110,7 @@
                 if bounded && !bound.holds(loads[at]) {
                     if first {
                         let back = now + come_back(loads[at].reading, &mut rng).as_millis() as u64;
-                        let standing = Standing::Returned;
+                        let standing = AdmissionClass::Returned;
                         add(&mut events, back, Event::Comes(Request { standing, ..request }));
                     } else {
                         day.refused += 1.0;
@@ -182,23 +182,23 @@
 
 #[test]
 fn one_that_was_refused_finds_room_that_newcomers_do_not() {
-    let newcomer = Bound::of(AIM, &ENGINE, Standing::Newcomer);
-    let returned = Bound::of(AIM, &ENGINE, Standing::Returned);
+    let newcomer = Bound::of(AIM, &ENGINE, AdmissionClass::Newcomer);
+    let returned = Bound::of(AIM, &ENGINE, AdmissionClass::Returned);
     let load = Load { runs: 3, tokens: 9_000, reading: 4_000, ..Load::default() };
     assert!(!newcomer.holds(load) && returned.holds(load));
     assert_eq!(
-        Standing::of(Duration::from_millis(4_900), Duration::from_secs(6)),
-        Standing::Returned
+        AdmissionClass::of(Duration::from_millis(4_900), Duration::from_secs(6)),
+        AdmissionClass::Returned
     );
     assert_eq!(
-        Standing::of(Duration::from_millis(5_990), Duration::from_secs(6)),
-        Standing::Newcomer
+        AdmissionClass::of(Duration::from_millis(5_990), Duration::from_secs(6)),
+        AdmissionClass::Newcomer
     );
 }
 
 #[test]
 fn a_request_that_is_larger_than_the_bound_is_taken_by_a_server_without_work() {
-    let bound = Bound::of(Duration::from_millis(1), &ENGINE, Standing::Newcomer);
+    let bound = Bound::of(Duration::from_millis(1), &ENGINE, AdmissionClass::Newcomer);
     assert!(bound.holds(Load::default()));
 }
 
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -6,10 +6,10 @@
 use tidestair::gateway::budget::Spent;
 use tidestair::gateway::cell::{CellId, Layout, MOST_IN_CELL, ONE_CELL};
 use tidestair::gateway::clock::{Clock, Echo};
-use tidestair::gateway::heartbeat::{Heartbeat, Origin, Sum, Told};
+use tidestair::gateway::heartbeat::{DaemonStats, Heartbeat, Origin, Sum};
 use tidestair::gateway::outcomes::Outcomes;
 use tidestair::gateway::roster::{Daemon, Listing};
-use tidestair::gateway::servers::{Load, Signs};
+use tidestair::gateway::servers::{Load, Observations};
 use tidestair::gateway::start;
 use tidestair::gateway::tag::Tag;
 use tidestair::gateway::view::View;
@@ -180,13 +180,13 @@
 /// The start of the watching daemon's process.
 const BOOT: u64 = 42;
 
-fn told(runs: u32) -> Told {
+fn told(runs: u32) -> DaemonStats {
     let load = Load { runs, tokens: 1_000 * runs, once: 1_000 * runs, ..Load::default() };
-    Told {
+    DaemonStats {
         loads: vec![(Tag::of("server"), load)],
         spent: vec![(Tag::of("service"), Spent { requests: 10 * runs, repeats: 2 * runs })],
         outcomes: vec![(Tag::of("server"), Outcomes { tried: 2.0, failed: 1.0 })],
-        ..Told::default()
+        ..DaemonStats::default()
     }
 }
 
@@ -215,13 +215,13 @@
             ready: true,
             pause_ms: 250,
             chosen: false,
-            statement: None,
+            copy_status: None,
             read_ms: None,
             failed_ms: None,
             cell: layout(&self.fleet, from).own,
-            told: told(1),
+            stats: told(1),
             sums: Vec::new(),
-            signs: Signs::default(),
+            observations: Observations::default(),
             others: Vec::new(),
         }
     }
@@ -369,7 +369,7 @@
     watcher.hear(1, 5, ms(0));
     let mut late = watcher.heartbeat(&watcher.fleet[1].clone(), 4, ms(1));
     late.ready = false;
-    late.told.loads.clear();
+    late.stats.loads.clear();
     assert!(!watcher.view.note(&late, watcher.start + ms(1)));
     assert_eq!(watcher.runs(ms(1)), 1);
     assert_eq!(watcher.view.entries(watcher.start).len(), 1);
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -10,10 +10,10 @@
 use std::time::{Duration, Instant};
 use tidestair::gateway::budget::Spent;
 use tidestair::gateway::clock::Clock;
-use tidestair::gateway::heartbeat::{Heartbeat, Told};
+use tidestair::gateway::heartbeat::{DaemonStats, Heartbeat};
 use tidestair::gateway::partner::{Pace, Stretch};
 use tidestair::gateway::roster::{Daemon, Listing};
-use tidestair::gateway::servers::{Load, Signs};
+use tidestair::gateway::servers::{Load, Observations};
 use tidestair::gateway::tag::Tag;
 use tidestair::gateway::view::{Own, View};
 
@@ -36,9 +36,9 @@
     pub own: Own,
     pub alive: bool,
     /// What it knows of servers otherwise than from the store, for its next heartbeats.
-    pub signs: Signs,
+    pub signs: Observations,
     /// What heartbeats brought of that, each with the earliest moment at which it can have been sent.
-    pub heard: Vec<(Signs, Option<Instant>)>,
+    pub heard: Vec<(Observations, Option<Instant>)>,
     divided: Option<Instant>,
     /// When each partner was greeted, is due its next heartbeat, and was told sums.
     partners: BTreeMap<SocketAddr, (Instant, Instant, Pace)>,
@@ -110,7 +110,7 @@
         let view = View::new(daemon.clone(), Clock::new(self.boots, self.now));
         let own = Own { told: told(&daemon.vm, 1), ready: true };
         let partners = BTreeMap::new();
-        let (signs, heard) = (Signs::default(), Vec::new());
+        let (signs, heard) = (Observations::default(), Vec::new());
         Node { daemon, view, own, alive: true, signs, heard, divided: None, partners, sent: 0 }
     }
 
@@ -143,7 +143,7 @@
             if node.alive {
                 node.view.note(&heartbeat, self.now);
                 let sent = node.view.clock().sent(heartbeat.echo, self.now);
-                node.heard.push((heartbeat.signs, sent));
+                node.heard.push((heartbeat.observations, sent));
             }
         }
     }
@@ -182,8 +182,10 @@
         };
         let pace = &mut node.partners.get_mut(&to).expect("it is due").2;
         let signs = node.signs.clone();
-        let heartbeat =
-            Heartbeat { signs, ..node.view.heartbeat(to, relation, node.own.clone(), pace, now) };
+        let heartbeat = Heartbeat {
+            observations: signs,
+            ..node.view.heartbeat(to, relation, node.own.clone(), pace, now)
+        };
         let wait = node.view.pause(to, relation, now);
         let wait = wait.mul_f64(self.rng.random_range(0.9..1.1));
         node.partners.get_mut(&to).expect("it is due").1 = now + wait;
@@ -246,11 +248,11 @@
     }
 }
 
-pub fn told(vm: &str, runs: u32) -> Told {
+pub fn told(vm: &str, runs: u32) -> DaemonStats {
     let load = Load { runs, tokens: 1_000 * runs, ..Load::default() };
-    Told {
+    DaemonStats {
         loads: vec![(Tag::of(vm), load), (Tag::of("all"), load)],
         spent: vec![(Tag::of("service"), Spent { requests: 10, repeats: 1 })],
-        ..Told::default()
+        ..DaemonStats::default()
     }
 }
--- a/tests/eras.rs
+++ b/tests/eras.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 use tidestair::gateway::port::{Change, Entry};
-use tidestair::gateway::update::{Statement, Update};
+use tidestair::gateway::update::{CopyStatus, Update};
 use tidestair::platform::Position;
 
 const NODES: usize = 3;
@@ -187,7 +187,7 @@
     closed: BTreeSet<u8>,
     version: u64,
     now: Instant,
-    said: Vec<(usize, Statement, Instant)>,
+    said: Vec<(usize, CopyStatus, Instant)>,
     given: Vec<(usize, Update, Instant)>,
     /// The highest version that each node had in force since it started.
     highest: [u64; NODES],
@@ -257,7 +257,7 @@
             Act::Compact => self.store.now.compacted = self.store.now.revision,
             Act::Read(n, whole) => self.store.read(&self.nodes[n], whole, now),
             Act::Tell(from, to, late) => {
-                if let Some(statement) = self.nodes[from].mirror.statement(now) {
+                if let Some(statement) = self.nodes[from].mirror.copy_status(now) {
                     self.said.push((to, statement, now));
                 }
                 let at = self.said.len().saturating_sub(1 + usize::from(late));
@@ -275,7 +275,7 @@
                 self.keep_update(from, to);
                 let at = self.given.len().saturating_sub(1 + usize::from(late));
                 if let Some((to, update, sent)) = self.given.get(at).cloned() {
-                    let seen = sent - Duration::from_millis(update.statement.age_ms.into());
+                    let seen = sent - Duration::from_millis(update.copy_status.age_ms.into());
                     self.nodes[to].mirror.apply(update, seen, now);
                 }
             }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -13,22 +13,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tidestair::ask::Ask;
-use tidestair::claim::{ClaimAsk, ClaimKey, Claimed, Kept, Nonce};
+use tidestair::claim::{ClaimAsk, ClaimKey, Claimed, Nonce, StoredAnswer};
 use tidestair::forecast::LengthKey;
 use tidestair::gateway::budget::Spent;
 use tidestair::gateway::cell::CellId;
 use tidestair::gateway::clock::Echo;
 use tidestair::gateway::fingerprint::Fingerprint;
-use tidestair::gateway::heartbeat::{self, Origin, Sum, Told};
+use tidestair::gateway::heartbeat::{self, DaemonStats, Origin, Sum};
 use tidestair::gateway::limit::Said;
 use tidestair::gateway::outcomes::Outcomes;
 use tidestair::gateway::quarantine::Evidence;
 use tidestair::gateway::rollout::tally::Tally;
 use tidestair::gateway::rollout::{Record, State, Stratum};
 use tidestair::gateway::roster::Daemon;
-use tidestair::gateway::servers::{Load, ServerRecord, Signs};
+use tidestair::gateway::servers::{Load, Observations, ServerRecord};
 use tidestair::gateway::tag::Tag;
-use tidestair::gateway::update::{Cell, Content, Retained, Statement, Update};
+use tidestair::gateway::update::{Cell, Content, CopyStatus, Retained, Update};
 use tidestair::journal::Journal;
 use tidestair::member;
 use tidestair::message::{self, Item, PlaceAsk, PlaceReply, PlaceUpdate, Reply};
@@ -95,8 +95,8 @@
     }
 }
 
-fn told() -> Told {
-    Told {
+fn told() -> DaemonStats {
+    DaemonStats {
         loads: vec![(tag(11), Load { runs: 12, tokens: 13, reading: 14, once: 15, arriving: 16 })],
         spent: vec![(tag(17), Spent { requests: 18, repeats: 19 })],
         outcomes: vec![(tag(20), Outcomes { tried: 2.5, failed: 1.5 })],
@@ -132,8 +132,8 @@
     }
 }
 
-fn statement() -> Statement {
-    Statement {
+fn statement() -> CopyStatus {
+    CopyStatus {
         position: Position::new(1, 51),
         changed: Position::new(2, 52),
         servers: Position::new(3, 53),
@@ -168,13 +168,13 @@
         ready: true,
         pause_ms: 6,
         chosen: false,
-        statement: Some(statement()),
+        copy_status: Some(statement()),
         read_ms: Some(7),
         failed_ms: Some(8),
         cell: cell(),
-        told: told(),
+        stats: told(),
         sums: vec![sum(Origin::Cell(cell())), sum(Origin::Hall(tag(24))), sum(Origin::OtherHalls)],
-        signs: Signs {
+        observations: Observations {
             leaving: vec![tag(25)],
             refusing: vec![(tag(26), 27)],
             limits: vec![
@@ -215,8 +215,8 @@
         left_ms,
     };
     let update = Update {
-        statement: statement(),
-        whole: true,
+        copy_status: statement(),
+        full: true,
         complete: false,
         base: Position::new(5, 85),
         cells: contents.iter().map(cell).collect(),
@@ -247,7 +247,7 @@
 fn requests_between_daemons() {
     use message::Request;
     let (key, nonce) = (ClaimKey(101), Nonce(102));
-    let kept = Kept { status: 200, body: b"done".to_vec(), omitted: true };
+    let kept = StoredAnswer { status: 200, body: b"done".to_vec(), omitted: true };
     let lengths = LengthKey { workspace: "w".into(), class: "c".into() };
     let ask = Ask {
         lengths,
@@ -265,7 +265,7 @@
             Request::Fetch { have: 108 },
             Request::Claim(ClaimAsk { key, nonce, body: 109, retention_ms: 110 }),
             Request::Place(PlaceAsk { pool: "pool".into(), ask, wait_ms: 111 }),
-            Request::Settle { key, nonce, kept: Some(kept) },
+            Request::Settle { key, nonce, answer: Some(kept) },
         ],
     );
 }
@@ -273,7 +273,7 @@
 #[test]
 fn answers_between_daemons() {
     let item = |value| Item { key: "k".into(), value, revision: 121 };
-    let kept = Kept { status: 409, body: b"no".to_vec(), omitted: false };
+    let kept = StoredAnswer { status: 409, body: b"no".to_vec(), omitted: false };
     let claimed = [
         Claimed::Yours,
         Claimed::Taken,
@@ -284,7 +284,7 @@
     let mut replies = vec![
         Reply::UpToDate,
         Reply::Changes(vec![item(None), item(Some(b"v".to_vec()))]),
-        Reply::Whole { revision: 122, items: vec![item(None)] },
+        Reply::Snapshot { revision: 122, items: vec![item(None)] },
         Reply::Done,
         Reply::NotUnderstood,
     ];
@@ -345,7 +345,7 @@
     let journal = Journal::start(Arc::new(kv), Duration::ZERO, Arc::new(Metrics::new()));
     let ask =
         |key| ClaimAsk { key: ClaimKey(key), nonce: Nonce(99), body: 7, retention_ms: 3_600_000 };
-    let kept = Kept { status: 200, body: b"done".to_vec(), omitted: true };
+    let kept = StoredAnswer { status: 200, body: b"done".to_vec(), omitted: true };
     assert_eq!(journal.claim(ask(4)).await, Claimed::Settled(kept));
     assert_eq!(journal.claim(ask(8)).await, Claimed::Yours);
     assert_eq!(journal.claim(ask(12)).await, Claimed::Taken);
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -7,7 +7,7 @@
 use tidestair::gateway::budget::{BudgetBounds, Others, Repeat, RepeatBudget, Spent};
 use tidestair::gateway::events::Splitter;
 use tidestair::gateway::in_force::{Declared, InForce};
-use tidestair::gateway::servers::{Heard, Load, ServerRecord, Servers, Signs};
+use tidestair::gateway::servers::{Load, Observations, PeerStats, ServerRecord, Servers};
 use tidestair::gateway::table::{
     Homes, Limits, Route, RouteKind, Service, Table, Target, Workspace,
 };
@@ -278,17 +278,17 @@
     let key = told.find("i-1").unwrap();
     told.not_reached(key, false, now);
     assert_eq!(
-        told.signs(now),
-        Signs::default(),
+        told.observations(now),
+        Observations::default(),
         "a silent server may be cut off from one daemon only"
     );
     told.not_reached(key, true, now);
-    let signs = told.signs(now + ms(300));
-    hears.take_signs(&signs, None, now + ms(300));
+    let signs = told.observations(now + ms(300));
+    hears.merge_observations(&signs, None, now + ms(300));
     let key = hears.find("i-1").unwrap();
     assert!(!hears.get(key).unwrap().is_passed_over(now + ms(300)), "it can't be dated");
     // On its way for a while: what passes is counted from its sending.
-    hears.take_signs(&signs, Some(now + ms(300)), now + ms(350));
+    hears.merge_observations(&signs, Some(now + ms(300)), now + ms(350));
     assert!(hears.get(key).unwrap().is_passed_over(now + ms(900)));
     assert!(!hears.get(key).unwrap().is_passed_over(now + ms(1_000)));
 }
@@ -300,13 +300,13 @@
     let key = |servers: &Servers| servers.find("i-1").unwrap();
     let first = key(&fleet[0]);
     fleet[0].not_reached(first, true, now);
-    let told = fleet[0].signs(now).refusing[0].1;
+    let told = fleet[0].observations(now).refusing[0].1;
     // Each heartbeat is on its way for 20 ms, which its receiver may not know.
     for round in 0..40u32 {
         let (from, to) = (round as usize % 5, (round as usize + 1) % 5);
         let sent = now + ms(20) * round;
-        let signs = fleet[from].signs(sent);
-        fleet[to].take_signs(&signs, Some(sent), sent + ms(20));
+        let signs = fleet[from].observations(sent);
+        fleet[to].merge_observations(&signs, Some(sent), sent + ms(20));
     }
     let until = now + ms(u64::from(told));
     for servers in &fleet {
@@ -317,8 +317,8 @@
 }
 
 /// What a daemon hears of the outcomes of one other daemon.
-fn heard(from: &Servers, now: Instant) -> Heard {
-    Heard { outcomes: from.own_outcomes(now).into_iter().collect(), ..Heard::default() }
+fn heard(from: &Servers, now: Instant) -> PeerStats {
+    PeerStats { outcomes: from.own_outcomes(now).into_iter().collect(), ..PeerStats::default() }
 }
 
 #[test]
@@ -333,7 +333,7 @@
     assert!(
         hears.own_outcomes(now).iter().any(|(tag, own)| *tag == Tag::of("i-1") && own.tried == 0.0)
     );
-    hears.set_others(&Heard::default());
+    hears.set_others(&PeerStats::default());
     assert_eq!(rate(&hears), 0.0, "the daemon is no longer heard");
 }
 
@@ -358,16 +358,16 @@
     let now = Instant::now();
     let (mut told, mut hears) = (one_server(now), one_server(now));
     told.leaves(told.find("i-1").unwrap(), now);
-    assert_eq!(told.signs(now).leaving, [Tag::of("i-1")]);
-    hears.take_signs(&told.signs(now), Some(now), now);
+    assert_eq!(told.observations(now).leaving, [Tag::of("i-1")]);
+    hears.merge_observations(&told.observations(now), Some(now), now);
     assert_eq!(hears.open("app").count(), 0);
     assert_eq!(
-        hears.signs(now).leaving,
+        hears.observations(now).leaving,
         [Tag::of("i-1")],
         "it reaches other cells through their relays"
     );
     told.upsert(record("i-1", true), now);
-    assert_eq!(told.signs(now), Signs::default(), "the store tells it by now");
+    assert_eq!(told.observations(now), Observations::default(), "the store tells it by now");
 }
 
 proptest! {
--- a/tests/herd.rs
+++ b/tests/herd.rs
@@ -11,7 +11,9 @@
 use rand::rngs::StdRng;
 use servers::{ENGINE, add_server};
 use std::time::Instant;
-use tidestair::gateway::place::{ALIKE, Candidate, Headroom, Need, Placing, UNSEEN_COST};
+use tidestair::gateway::place::{
+    ALIKE, Candidate, Headroom, PlacementRequest, Placing, UNSEEN_COST,
+};
 use tidestair::gateway::servers::{Load, Servers};
 use tidestair::gateway::table::Engine;
 
@@ -37,7 +39,12 @@
 }
 
 /// The most that come to one server where so many choose blindly, each with the same need.
-fn most_at_one(servers: &Servers, need: &Need<'_>, choosers: usize, now: Instant) -> f64 {
+fn most_at_one(
+    servers: &Servers,
+    need: &PlacementRequest<'_>,
+    choosers: usize,
+    now: Instant,
+) -> f64 {
     let open = servers.open("model");
     let candidates: Vec<Candidate<'_>> =
         open.map(|(key, server)| Candidate { key, server, load: server.load() }).collect();
@@ -54,9 +61,9 @@
     f64::from(sum) / PLAYS as f64
 }
 
-fn request(unseen: f64) -> Need<'static> {
+fn request(unseen: f64) -> PlacementRequest<'static> {
     let engine = Some(&LARGE);
-    Need { hall: "here", far: UNSEEN_COST, alike: ALIKE, unseen, load: REQUEST, engine }
+    PlacementRequest { hall: "here", far: UNSEEN_COST, alike: ALIKE, unseen, load: REQUEST, engine }
 }
 
 #[test]
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
-use tidestair::claim::{ClaimAsk, ClaimKey, Claimed, Kept, Nonce};
+use tidestair::claim::{ClaimAsk, ClaimKey, Claimed, Nonce, StoredAnswer};
 use tidestair::journal::{CLOCK_MARGIN_MS, Journal};
 use tidestair::metrics::Metrics;
 use tidestair::platform::Platform;
@@ -133,7 +133,7 @@
     let (settled, released) = (ask(4), ask(8));
     assert_eq!(a.claim(settled).await, Claimed::Yours);
     assert_eq!(a.claim(released).await, Claimed::Yours);
-    let kept = Kept { status: 200, body: b"done".to_vec(), omitted: false };
+    let kept = StoredAnswer { status: 200, body: b"done".to_vec(), omitted: false };
     a.settle(settled.key, settled.nonce, Some(kept.clone())).await;
     a.settle(released.key, released.nonce, None).await;
     tokio::time::sleep(Duration::from_millis(100)).await;
@@ -177,7 +177,7 @@
         claims.push(claim);
     }
     kv.fault(|f| f.down = true);
-    let kept = Kept { status: 200, body: vec![7; 4_096], omitted: false };
+    let kept = StoredAnswer { status: 200, body: vec![7; 4_096], omitted: false };
     for claim in &claims {
         journal.settle(claim.key, claim.nonce, Some(kept.clone())).await;
     }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -18,8 +18,8 @@
 use servers::add_server;
 use std::time::{Duration, Instant};
 use tidestair::gateway::budget::{Others, Spent};
-use tidestair::gateway::limit::{LimitWord, Said};
-use tidestair::gateway::servers::{Load, ServerRecord, Servers, Signs};
+use tidestair::gateway::limit::{LimitRemark, Said};
+use tidestair::gateway::servers::{Load, Observations, ServerRecord, Servers};
 use tidestair::gateway::tag::Tag;
 
 /// Time in which a daemon knows what it needs of the others.
@@ -195,26 +195,28 @@
     let key = add_server(&mut servers, 1, "here", Load::default());
     let rate = |servers: &Servers| servers.get(key).unwrap().limit().rate();
     let at = |n| start + ms(n);
-    assert!(servers.says_limit(key, LimitWord::Rate(2.0), at(0), at(100)));
+    assert!(servers.says_limit(key, LimitRemark::Rate(2.0), at(0), at(100)));
     // Asked before the limit was heard, and answered long after.
-    assert!(!servers.says_limit(key, LimitWord::Free, at(50), at(3_000)));
+    assert!(!servers.says_limit(key, LimitRemark::Free, at(50), at(3_000)));
     assert_eq!(rate(&servers), Some(2.0));
     // A value that is no number changes nothing, neither way.
-    assert!(!servers.says_limit(key, LimitWord::Unclear, at(3_000), at(3_010)));
+    assert!(!servers.says_limit(key, LimitRemark::Unclear, at(3_000), at(3_010)));
     assert_eq!(rate(&servers), Some(2.0));
-    assert!(servers.says_limit(key, LimitWord::Free, at(3_100), at(3_200)));
-    assert!(!servers.says_limit(key, LimitWord::Unclear, at(3_300), at(3_310)));
+    assert!(servers.says_limit(key, LimitRemark::Free, at(3_100), at(3_200)));
+    assert!(!servers.says_limit(key, LimitRemark::Unclear, at(3_300), at(3_310)));
     assert_eq!(rate(&servers), None);
     // A peer's word of the limit, from before that.
     let tag = servers.get(key).unwrap().tag();
-    let told =
-        |rate, age_ms| Signs { limits: vec![(tag, Said { rate, age_ms })], ..Signs::default() };
-    servers.take_signs(&told(Some(2.0), 400), Some(at(3_400)), at(3_420));
+    let told = |rate, age_ms| Observations {
+        limits: vec![(tag, Said { rate, age_ms })],
+        ..Observations::default()
+    };
+    servers.merge_observations(&told(Some(2.0), 400), Some(at(3_400)), at(3_420));
     assert_eq!(rate(&servers), None);
     // What can't be dated is left for the next heartbeat.
-    servers.take_signs(&told(Some(2.0), 0), None, at(3_430));
+    servers.merge_observations(&told(Some(2.0), 0), None, at(3_430));
     assert_eq!(rate(&servers), None);
-    servers.take_signs(&told(Some(2.0), 10), Some(at(3_440)), at(3_450));
+    servers.merge_observations(&told(Some(2.0), 10), Some(at(3_440)), at(3_450));
     assert_eq!(rate(&servers), Some(2.0));
 }
 
@@ -223,7 +225,7 @@
 fn a_limit_ends_with_the_start_of_the_server_that_named_it() {
     let (mut servers, now) = (Servers::default(), Instant::now());
     let key = add_server(&mut servers, 1, "here", Load::default());
-    servers.says_limit(key, LimitWord::Rate(2.0), now, now);
+    servers.says_limit(key, LimitRemark::Rate(2.0), now, now);
     servers.end(key, Load::default());
     let record = servers.get(key).unwrap().record.clone();
     servers.upsert(ServerRecord { born: Some(7), ..record }, now);
--- a/tests/limits/play.rs
+++ b/tests/limits/play.rs
@@ -10,8 +10,8 @@
 use tidestair::gateway::budget::{BudgetBounds, RepeatBudget, Spent};
 use tidestair::gateway::cell::first_of_halls;
 use tidestair::gateway::cold::Rank;
-use tidestair::gateway::heartbeat::Told;
-use tidestair::gateway::limit::{CellShare, Limit, LimitWord, Share};
+use tidestair::gateway::heartbeat::DaemonStats;
+use tidestair::gateway::limit::{CellShare, Limit, LimitRemark, Share};
 use tidestair::gateway::servers::{Load, ServerKey, Servers};
 use tidestair::gateway::tag::Tag;
 
@@ -129,7 +129,7 @@
         let now = self.fleet.now;
         while self.answers.front().is_some_and(|(at, ..)| *at <= now) {
             let (_, i, asked, names) = self.answers.pop_front().expect("there is one");
-            let word = names.map_or(LimitWord::Free, LimitWord::Rate);
+            let word = names.map_or(LimitRemark::Free, LimitRemark::Rate);
             let known = &mut self.known[i];
             known.servers.says_limit(known.key, word, asked, now);
         }
@@ -139,7 +139,7 @@
         let now = self.fleet.now;
         let node = &mut self.fleet.nodes[i];
         for (signs, sent) in std::mem::take(&mut node.heard) {
-            self.known[i].servers.take_signs(&signs, sent, now);
+            self.known[i].servers.merge_observations(&signs, sent, now);
         }
     }
 
@@ -158,7 +158,7 @@
             return;
         }
         let known = &mut self.known[i];
-        known.servers.takes_room(known.key);
+        known.servers.use_quota(known.key);
         known.sent.push_back(now);
         let said = self.names;
         if self.excused.get(&i).is_none_or(|until| now > *until) {
@@ -184,7 +184,7 @@
             return all + 1.0 <= rate * WINDOW.as_secs_f64();
         }
         self.settle(i, now);
-        let has_room = self.known[i].limit().room().is_none_or(|room| room >= 1.0);
+        let has_room = self.known[i].limit().quota().is_none_or(|room| room >= 1.0);
         has_room || self.borrow(i, rate, now)
     }
 
@@ -199,15 +199,15 @@
             Way::Equal => (1.0 / listed as f64, budget.near().count() as f64 / listed as f64),
             _ => {
                 let service = Play::service();
-                (budget.part(&service, now), budget.cell_part(&service, now))
+                (budget.part(&service, now), budget.cell_fraction(&service, now))
             }
         };
         let rank = Rank { before: i, daemons: listed };
         let near = budget.near();
         let share = |server: Tag| {
             let (daemons, place) = (near.count(), near.place(server));
-            let cell = CellShare { part: cell_part, daemons, place };
-            Share { part, phase: rank.phase(server), cell }
+            let cell = CellShare { fraction: cell_part, daemons, place };
+            Share { fraction: part, phase: rank.phase(server), cell }
         };
         known.servers.settle_limits(SERVICE, share, now);
     }
@@ -261,8 +261,8 @@
         let counted = Spent { requests: sent, repeats: 0 };
         spent.push((Tag::of("sent"), counted));
         let node = &mut self.fleet.nodes[i];
-        node.own.told = Told { spent, ..Told::default() };
-        node.signs = known.servers.signs(now);
+        node.own.told = DaemonStats { spent, ..DaemonStats::default() };
+        node.signs = known.servers.observations(now);
     }
 
     pub fn restart(&mut self, i: usize) {
--- a/tests/mirror.rs
+++ b/tests/mirror.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use tidestair::gateway::mirror::Mirror;
 use tidestair::gateway::port::{Change, Entry};
-use tidestair::gateway::update::{Lack, Statement};
+use tidestair::gateway::update::{CopyStatus, Lack};
 use tidestair::message;
 use tidestair::platform::Position;
 
@@ -19,7 +19,7 @@
     node.mirror.store_answered(now - age, now);
     let position = truth.position();
     let age_ms = age.as_millis() as u32;
-    let statement = Statement {
+    let statement = CopyStatus {
         position,
         changed: position,
         servers: position,
@@ -308,7 +308,7 @@
                 }
                 Act::ReadServers(n) => read_servers(&nodes[n].mirror, &truth, now),
                 Act::Tell(from, to, late) => {
-                    if let Some(statement) = nodes[from].mirror.statement(now) {
+                    if let Some(statement) = nodes[from].mirror.copy_status(now) {
                         said[to].push((statement, now));
                     }
                     let at = said[to].len().saturating_sub(1 + usize::from(late));
@@ -357,7 +357,7 @@
                     ahead[n] = truth.position();
                 }
                 Act::Tell(from, to, _) => {
-                    if let Some(statement) = nodes[from].mirror.statement(now) {
+                    if let Some(statement) = nodes[from].mirror.copy_status(now) {
                         nodes[to].mirror.hear(statement, now, now);
                         ahead[to] = ahead[to].max(ahead[from]);
                     }
@@ -552,7 +552,7 @@
     truth.take(&Act::Remove(1), now);
     read(&giver.mirror, &truth, now);
     giver.give(&taker, false, now);
-    let ahead = taker.mirror.statement(now).expect("it has read");
+    let ahead = taker.mirror.copy_status(now).expect("it has read");
     assert_eq!(
         (ahead.position, ahead.servers),
         (at(3), at(5)),
@@ -560,7 +560,7 @@
     );
     assert_eq!(other.mirror.hear(ahead, now, now), Lack::Changes, "a server's leaving is told on");
     giver.give(&taker, true, now);
-    let whole = taker.mirror.statement(now).expect("it has read");
+    let whole = taker.mirror.copy_status(now).expect("it has read");
     assert_eq!(other.mirror.hear(whole, now, now), Lack::Changes);
     taker.give(&other, false, now);
     assert!(!other.takes_work("1"));
@@ -573,7 +573,7 @@
     truth.take(&Act::Declare(true), now);
     truth.take(&Act::Remove(1), now);
     read(&giver.mirror, &truth, now);
-    let statement = giver.mirror.statement(now).expect("it has read");
+    let statement = giver.mirror.copy_status(now).expect("it has read");
     assert_eq!(taker.mirror.hear(statement, now, now), Lack::Changes);
     giver.give(&taker, false, now);
     assert_eq!(taker.mirror.hear(statement, now, now), Lack::LargeValues);
@@ -591,7 +591,7 @@
     truth.take(&Act::Remove(1), now);
     read_servers(&reader.mirror, &truth, now);
     assert!(!reader.takes_work("1"));
-    let statement = reader.mirror.statement(now).expect("it has read");
+    let statement = reader.mirror.copy_status(now).expect("it has read");
     assert_eq!(
         (statement.position, statement.changed),
         (at(3), at(3)),
@@ -619,7 +619,7 @@
     read(&giver.mirror, &truth, now);
     // The teller knows of two deletions and of nothing between them.
     giver.give(&teller, false, now);
-    let statement = teller.mirror.statement(now).expect("it has read");
+    let statement = teller.mirror.copy_status(now).expect("it has read");
     assert_eq!(hearer.mirror.hear(statement, now, now), Lack::Changes);
 }
 
--- a/tests/mirror/stand_ins.rs
+++ b/tests/mirror/stand_ins.rs
@@ -197,7 +197,7 @@
     pub fn give(&self, to: &Node, all: bool, now: Instant) {
         let taken = |update: Option<Update>| {
             let update = update?;
-            let (age, complete) = (update.statement.age_ms, update.complete);
+            let (age, complete) = (update.copy_status.age_ms, update.complete);
             to.mirror.apply(update, now - Duration::from_millis(age.into()), now);
             Some(complete)
         };
--- a/tests/placing.rs
+++ b/tests/placing.rs
@@ -7,7 +7,8 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 use tidestair::gateway::place::{
-    ALIKE, COPY_ALIKE, Candidate, FAR_COPY_COST, FAR_COST, Headroom, Need, Placing, UNSEEN_COST,
+    ALIKE, COPY_ALIKE, Candidate, FAR_COPY_COST, FAR_COST, Headroom, PlacementRequest, Placing,
+    UNSEEN_COST,
 };
 use tidestair::gateway::policies::{NAMES, by_name};
 use tidestair::gateway::servers::{Load, Servers};
@@ -39,7 +40,8 @@
     for (i, (hall, load)) in servers.iter().enumerate() {
         add_server(&mut known, i, hall, *load);
     }
-    let need = Need { hall: "here", far, alike, unseen: 0.0, load, engine: Some(&ENGINE) };
+    let need =
+        PlacementRequest { hall: "here", far, alike, unseen: 0.0, load, engine: Some(&ENGINE) };
     let candidates: Vec<Candidate<'_>> = known
         .open("model")
         .map(|(key, server)| Candidate { key, server, load: server.load() })
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -48,7 +48,7 @@
     }
 
     fn kept_back(&self, request: Fingerprint) -> usize {
-        self.daemons.iter().filter(|d| d.kept_back(request, self.now).is_some()).count()
+        self.daemons.iter().filter(|d| d.quarantined_for(request, self.now).is_some()).count()
     }
 }
 
@@ -109,7 +109,7 @@
         fleet.tell();
         fleet.now += s(5);
     }
-    let left = fleet.daemons[0].kept_back(request(1), fleet.now);
+    let left = fleet.daemons[0].quarantined_for(request(1), fleet.now);
     assert_eq!(left, Some(MEMORY - s(5)));
     // Told all the while, as heartbeats are.
     for _ in 0..MEMORY.as_secs() {
@@ -256,8 +256,8 @@
             // Each map has an order of its own.
             let told: HashMap<Fingerprint, Evidence> = told.clone().into_iter().collect();
             quarantine.set_others(&told, now);
-            assert!(quarantine.kept_back(deadly, now).is_some());
-            assert!((1..=20).all(|n| quarantine.kept_back(request(n), now).is_none()));
+            assert!(quarantine.quarantined_for(deadly, now).is_some());
+            assert!((1..=20).all(|n| quarantine.quarantined_for(request(n), now).is_none()));
         }
     }
 }
@@ -365,7 +365,7 @@
             let now = fleet.now;
             if what == 0 {
                 fleet.daemons[daemon].survived(request(of), now);
-                prop_assert_eq!(fleet.daemons[daemon].kept_back(request(of), now), None);
+                prop_assert_eq!(fleet.daemons[daemon].quarantined_for(request(of), now), None);
                 ended[of as usize][daemon] = 0;
                 survived[of as usize] = true;
             } else {
--- a/tests/remarks.rs
+++ b/tests/remarks.rs
@@ -6,11 +6,11 @@
 use servers::add_server;
 use std::time::{Duration, Instant};
 use tidestair::gateway::condition::Remarks;
-use tidestair::gateway::limit::LimitWord;
+use tidestair::gateway::limit::LimitRemark;
 use tidestair::gateway::servers::{Load, ServerKey, ServerRecord, Servers};
 
 const LEAVES: Remarks =
-    Remarks { leaving: true, rest: None, limit: LimitWord::Unclear, cold: None };
+    Remarks { leaving: true, backoff: None, limit: LimitRemark::Unclear, cold: None };
 
 /// A server on which this daemon has no runs.
 fn idle_server(servers: &mut Servers) -> ServerKey {
@@ -28,7 +28,7 @@
     servers.remove(&record.id);
     servers.upsert(record, now + Duration::from_secs(20));
     assert_eq!(servers.open("model").count(), 0, "it leaves as it did before");
-    assert_eq!(servers.signs(now).leaving.len(), 1, "and others may have to be told again");
+    assert_eq!(servers.observations(now).leaving.len(), 1, "and others may have to be told again");
 }
 
 /// What an answer said while the entry had lapsed, and what was said of a limit, holds as well.
@@ -41,12 +41,12 @@
     servers.remove(&record.id);
     // A request that was under way there.
     servers.hear(key, &LEAVES, now, now);
-    let limited = Remarks { limit: LimitWord::Rate(2.0), ..Remarks::default() };
+    let limited = Remarks { limit: LimitRemark::Rate(2.0), ..Remarks::default() };
     servers.hear(key, &limited, now, now);
     servers.end(key, running);
     servers.upsert(record, now);
     assert_eq!(servers.open("model").count(), 0);
-    assert_eq!(servers.count_in_need(), 1);
+    assert_eq!(servers.count_limited(), 1);
 }
 
 /// Requests that were under way when it was said, and answers that say nothing of it, change nothing.
@@ -57,7 +57,7 @@
     let record = servers.get(key).unwrap().record.clone();
     assert!(servers.hear(key, &LEAVES, now, now).leaves);
     assert!(!servers.hear(key, &LEAVES, now, now).leaves, "it is known");
-    let free = Remarks { limit: LimitWord::Free, ..Remarks::default() };
+    let free = Remarks { limit: LimitRemark::Free, ..Remarks::default() };
     servers.hear(key, &free, now, now + Duration::from_secs(3));
     servers.suspect(key, now);
     servers.trust(key, now);
@@ -79,7 +79,7 @@
 }
 
 fn rests(seconds: u64) -> Remarks {
-    Remarks { rest: Some(Duration::from_secs(seconds)), ..Remarks::default() }
+    Remarks { backoff: Some(Duration::from_secs(seconds)), ..Remarks::default() }
 }
 
 /// Answers pass each other on their way, and a rest is never shortened.
@@ -94,21 +94,21 @@
         "an older answer, or a shorter rest"
     );
     // It served a request that was under way.
-    let free = Remarks { limit: LimitWord::Free, ..Remarks::default() };
+    let free = Remarks { limit: LimitRemark::Free, ..Remarks::default() };
     servers.hear(key, &free, at(0), at(2));
-    assert!(servers.is_resting(key, at(4)));
-    assert!(!servers.is_resting(key, at(5)));
+    assert!(servers.is_backing_off(key, at(4)));
+    assert!(!servers.is_backing_off(key, at(5)));
     assert!(servers.hear(key, &rests(1), at(6), at(6)).rests);
-    assert!(servers.is_resting(key, at(6)) && !servers.is_resting(key, at(7)));
+    assert!(servers.is_backing_off(key, at(6)) && !servers.is_backing_off(key, at(7)));
 }
 
 #[test]
 fn a_rest_that_has_no_end_is_none() {
     let (mut servers, now) = (Servers::default(), Instant::now());
     let key = idle_server(&mut servers);
-    let endless = Remarks { rest: Some(Duration::MAX), ..Remarks::default() };
+    let endless = Remarks { backoff: Some(Duration::MAX), ..Remarks::default() };
     assert!(!servers.hear(key, &endless, now, now).rests);
-    assert!(!servers.is_resting(key, now));
+    assert!(!servers.is_backing_off(key, now));
 }
 
 #[test]
@@ -120,12 +120,12 @@
     servers.remove(&record.id);
     servers.upsert(record.clone(), now);
     let again = servers.find(&record.id).unwrap();
-    assert!(servers.is_resting(again, now));
+    assert!(servers.is_backing_off(again, now));
     assert_eq!(
-        servers.signs(now).limits.len() + servers.signs(now).leaving.len(),
+        servers.observations(now).limits.len() + servers.observations(now).leaving.len(),
         0,
         "no peer is told"
     );
     servers.upsert(ServerRecord { born: Some(7), ..record.clone() }, now);
-    assert!(!servers.is_resting(servers.find(&record.id).unwrap(), now));
+    assert!(!servers.is_backing_off(servers.find(&record.id).unwrap(), now));
 }
--- a/tests/restored.rs
+++ b/tests/restored.rs
@@ -220,7 +220,7 @@
     let new = node(now);
     store.read(&new, now);
     assert_eq!(new.version(), 7, "alone it can't know");
-    let statement = old.mirror.statement(now).expect("it has read");
+    let statement = old.mirror.copy_status(now).expect("it has read");
     assert_eq!(new.mirror.hear(statement, now, now), Lack::Changes);
     old.give(&new, true, now);
     assert_eq!(new.version(), 12);
@@ -267,7 +267,7 @@
     // One reads on what the other knows to be lost.
     let later = now + secs(3);
     lost.read(&behind, later);
-    let statement = |node: &Node| node.mirror.statement(later).expect("it has read");
+    let statement = |node: &Node| node.mirror.copy_status(later).expect("it has read");
     assert_eq!(ahead.mirror.hear(statement(&behind), later, later), Lack::Nothing);
     assert_eq!(ahead.gateway.in_force.age(later), Some(secs(3)), "not confirmed");
     behind.give(&ahead, true, later);
@@ -308,10 +308,10 @@
     let request = Fingerprint::parse("0123456789abcdef").expect("a fingerprint");
     store.put("quarantine/0123456789abcdef", "{}");
     store.read(&node, now);
-    assert!(node.gateway.quarantine().kept_back(request, now).is_some());
+    assert!(node.gateway.quarantine().quarantined_for(request, now).is_some());
     store.restore(&copy);
     store.read(&node, now);
-    assert!(node.gateway.quarantine().kept_back(request, now).is_some());
+    assert!(node.gateway.quarantine().quarantined_for(request, now).is_some());
     assert!(node.gateway.quarantine().is_unsaved(request, now));
     assert_eq!(node.gateway.quarantine().take_lost(), [request]);
     store.put("quarantine/0123456789abcdef", "{}");
@@ -319,7 +319,7 @@
     assert!(!node.gateway.quarantine().is_unsaved(request, now));
     store.write("quarantine/0123456789abcdef", None);
     store.read(&node, now);
-    assert!(node.gateway.quarantine().kept_back(request, now).is_none());
+    assert!(node.gateway.quarantine().quarantined_for(request, now).is_none());
 }
 
 /// Guards against a fleet in which each daemon asks for everything when the store comes back: what a peer is given
@@ -349,7 +349,7 @@
         }
         store.read(&reader, now);
         let update = reader.mirror.update_after(peer.mirror.position(), now).expect("it has read");
-        assert!(!update.whole && update.complete);
+        assert!(!update.full && update.complete);
         given.push(message::encode(&update).len());
         peer.mirror.apply(update, now, now);
         assert_eq!(peer.mirror.position(), store.at);
@@ -367,13 +367,13 @@
     store.read(&peer, now);
     store.restore(&store.clone());
     store.read(&reader, now);
-    let statement = reader.mirror.statement(now).expect("it has read");
+    let statement = reader.mirror.copy_status(now).expect("it has read");
     assert_eq!(peer.mirror.hear(statement, now, now), Lack::Changes);
     reader.give(&peer, true, now);
     assert_eq!(peer.mirror.position(), store.at);
     let later = now + secs(1);
     store.read(&reader, later);
-    let statement = reader.mirror.statement(later).expect("it has read");
+    let statement = reader.mirror.copy_status(later).expect("it has read");
     assert_eq!(peer.mirror.hear(statement, later, later), Lack::Nothing);
     assert_eq!(peer.gateway.in_force.age(later), Some(Duration::ZERO), "confirmed");
 }
@@ -390,7 +390,7 @@
     store.restore(&copy);
     store.read(&reader, now);
     let update = reader.mirror.all_after(peer.mirror.position(), now).expect("it has read");
-    assert!(update.whole);
+    assert!(update.full);
     peer.mirror.apply(update, now, now);
     assert_eq!(peer.mirror.position(), store.at);
     assert!(!peer.may_use("1"), "it alone knows that the hall is closed");
@@ -415,7 +415,7 @@
     store.put("servers/1", "leaving@1");
     store.read(&reader, now);
     let update = reader.mirror.update_after(peer.mirror.position(), now).expect("it has read");
-    assert!(!update.whole);
+    assert!(!update.full);
     peer.mirror.apply(update, now, now);
     // The reader waits for a server that the peer never knew.
     let later = now + secs(2);
--- a/tests/rollouts.rs
+++ b/tests/rollouts.rs
@@ -529,7 +529,7 @@
     assert!(*notice.borrow());
     let open: Vec<ServerKey> = servers.open(SERVICE).map(|(key, _)| key).collect();
     assert_eq!(open, [new]);
-    assert!(servers.signs(now).leaving.is_empty(), "it is no word of the server itself");
+    assert!(servers.observations(now).leaving.is_empty(), "it is no word of the server itself");
     // A server that comes later, and one whose entry changes.
     let late = server(&mut servers, "i-3", "v1", now);
     assert!(!servers.get(late).unwrap().open());
