--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -97,10 +97,10 @@
     for request in requests {
         quarantine.ended(request, Tag::number(1), Run::Unseen, now);
     }
-    let others = quarantine.told(now).into_iter().collect();
+    let others = quarantine.for_peers(now).into_iter().collect();
     micros(20_000, || {
         quarantine.set_others(&others, now);
-        black_box(quarantine.told(now));
+        black_box(quarantine.for_peers(now));
     })
 }
 
@@ -326,7 +326,7 @@
         members: Vec::new(),
         daemons: far as u32,
         entries: Vec::new(),
-        told: told(daemons, far, servers),
+        stats: told(daemons, far, servers),
     };
     for (n, peer) in near.iter().enumerate() {
         let sums = if n == 0 { vec![sum.clone()] } else { Vec::new() };
@@ -334,11 +334,11 @@
         view.note(&heartbeat, Instant::now());
     }
     let heard = micros(100, || {
-        let heard = view.heard(Instant::now());
+        let heard = view.peer_stats(Instant::now());
         known.set_others(black_box(&heard));
     });
     note("hear", heard);
-    let own = Own { told: told(0, 1, servers), ready: true };
+    let own = Own { stats: told(0, 1, servers), ready: true };
     let to = near[0].peers;
     let send = micros(200, || {
         let (mut pace, now) = (Pace::default(), Instant::now());
--- a/benches/slopes.rs
+++ b/benches/slopes.rs
@@ -93,7 +93,7 @@
             let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1_000 + i as u16));
             let spec = ReplicaSpec { name: format!("r{i}"), address, hall: "h".into() };
             let mut replica = Replica::new(&spec, "h", now);
-            replica.heard = Some(now);
+            replica.last_report = Some(now);
             replica.report.capacity = 8_000;
             replica.report.running = (i % 30) as u32;
             replica.peaks = [(i * 37 % 7_000) as f32; 4];
--- a/src/app.rs
+++ b/src/app.rs
@@ -8,7 +8,7 @@
 use crate::grant::{self, Granted, Keeper, Placer};
 use crate::message::PlaceAsk;
 use crate::metrics::Metrics;
-use crate::peer::Held;
+use crate::peer::PeerStream;
 use crate::platform::Counted;
 use crate::pool::Pool;
 use crate::snapshot::Snapshot;
@@ -173,11 +173,11 @@
 }
 
 impl Keeper for App {
-    fn keep(&self, ask: PlaceAsk, held: Held) -> BoxFuture<'static, ()> {
+    fn keep(&self, ask: PlaceAsk, peer_stream: PeerStream) -> BoxFuture<'static, ()> {
         let pool = self.pools().into_iter().find(|p| p.name() == ask.pool);
         Box::pin(async move {
             if let Some(pool) = pool {
-                grant::keep(pool, ask, held).await;
+                grant::keep(pool, ask, peer_stream).await;
             }
         })
     }
--- a/src/client.rs
+++ b/src/client.rs
@@ -32,11 +32,11 @@
     key: String,
     seeds: Vec<SocketAddr>,
     wire: Wire,
-    kept: Mutex<Kept>,
+    cache: Mutex<EntryCache>,
 }
 
 #[derive(Default)]
-struct Kept {
+struct EntryCache {
     entries: Vec<Entry>,
     until: Option<Instant>,
     avoid: Vec<(SocketAddr, Instant)>,
@@ -96,18 +96,18 @@
 impl Client {
     /// A caller with a workspace's key that asks `seeds` for the entries.
     pub fn new(key: &str, seeds: Vec<SocketAddr>) -> Client {
-        Client { key: key.into(), seeds, wire: Wire::default(), kept: Mutex::default() }
+        Client { key: key.into(), seeds, wire: Wire::default(), cache: Mutex::default() }
     }
 
     /// The entry to use now.
     pub async fn entry(&self, now: Instant) -> SocketAddr {
-        let fresh = self.kept.lock().expect("kept").until.is_some_and(|until| now < until);
+        let fresh = self.cache.lock().expect("kept").until.is_some_and(|until| now < until);
         if !fresh {
             self.ask_entries(now).await;
         }
-        let kept = self.kept.lock().expect("kept");
-        let avoided = |a: &SocketAddr| kept.avoid.iter().any(|(b, until)| a == b && now < *until);
-        let usable: Vec<&Entry> = kept.entries.iter().filter(|e| !avoided(&e.address)).collect();
+        let cache = self.cache.lock().expect("kept");
+        let avoided = |a: &SocketAddr| cache.avoid.iter().any(|(b, until)| a == b && now < *until);
+        let usable: Vec<&Entry> = cache.entries.iter().filter(|e| !avoided(&e.address)).collect();
         let total: u32 = usable.iter().map(|e| e.weight).sum();
         if total == 0 {
             return self.seeds[rand::rng().random_range(0..self.seeds.len())];
@@ -124,7 +124,7 @@
 
     async fn ask_entries(&self, now: Instant) {
         let known: Vec<SocketAddr> =
-            self.kept.lock().expect("kept").entries.iter().map(|e| e.address).collect();
+            self.cache.lock().expect("kept").entries.iter().map(|e| e.address).collect();
         for addr in known.iter().chain(&self.seeds) {
             let req = request(Method::GET, *addr, "/v1/entries", Bytes::new());
             let Ok(answer) = self.wire.send(*addr, req, NotSent::begin(), SHORT).await else {
@@ -136,16 +136,16 @@
             let Ok(entries) = serde_json::from_slice::<Entries>(&body) else {
                 continue;
             };
-            let mut kept = self.kept.lock().expect("kept");
-            kept.entries = entries.entries;
-            kept.until = Some(now + Duration::from_millis(entries.keep_ms));
-            kept.avoid.retain(|(_, until)| now < *until);
+            let mut cache = self.cache.lock().expect("kept");
+            cache.entries = entries.entries;
+            cache.until = Some(now + Duration::from_millis(entries.keep_ms));
+            cache.avoid.retain(|(_, until)| now < *until);
             return;
         }
     }
 
     fn avoid(&self, entry: SocketAddr, now: Instant) {
-        self.kept.lock().expect("kept").avoid.push((entry, now + AVOID));
+        self.cache.lock().expect("kept").avoid.push((entry, now + AVOID));
     }
 
     /// Sends a streamed completion and hands each piece on; goes on elsewhere where it breaks.
@@ -309,21 +309,21 @@
 
 async fn read_call(answer: Answer) -> Called {
     let status = answer.status.as_u16();
-    let outcome = told(&answer);
+    let outcome = outcome_of(&answer);
     match answer.whole(MOST_BODY, HEAD_LIMIT).await {
         Ok(body) => Called { status, outcome, body },
         Err(_) => Called { status, outcome: Outcome::Unknown, body: Bytes::new() },
     }
 }
 
-fn told(answer: &Answer) -> Outcome {
+fn outcome_of(answer: &Answer) -> Outcome {
     let name = answer.headers.get(OUTCOME).and_then(|v| v.to_str().ok()).unwrap_or_default();
     let all = [Outcome::Complete, Outcome::NotRun, Outcome::Unknown, Outcome::Cut];
     all.into_iter().find(|o| o.name() == name).unwrap_or(Outcome::Unknown)
 }
 
 async fn refused(answer: Answer) -> (Outcome, String) {
-    let outcome = told(&answer);
+    let outcome = outcome_of(&answer);
     let status: StatusCode = answer.status;
     let body = answer.whole(MOST_BODY, SHORT).await.unwrap_or_default();
     (outcome, format!("{status}: {}", String::from_utf8_lossy(&body)))
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -83,13 +83,13 @@
 
     /// The bound for such a request, where its service aims at `aim`.
     pub fn of(aim: Duration, engine: &Engine, admission_class: AdmissionClass) -> Bound {
-        let (per_ms, part) = match admission_class {
+        let (per_ms, fraction) = match admission_class {
             AdmissionClass::Newcomer => (WAITING_PER_MS, MEMORY_FRACTION),
             AdmissionClass::Returned => (WAITING_PER_MS_RETURNED, MEMORY_FRACTION_RETURNED),
             AdmissionClass::Begun => return Bound::NONE,
         };
         let waiting = aim.as_secs_f64() * 1_000.0 * per_ms;
-        Bound { waiting, memory: f64::from(engine.memory) * part }
+        Bound { waiting, memory: f64::from(engine.memory) * fraction }
     }
 
     /// Whether a server with such a load takes one more. One at which nothing waits and runs takes any.
--- a/src/gateway/budget.rs
+++ b/src/gateway/budget.rs
@@ -55,7 +55,7 @@
     /// How many there are.
     pub daemons: usize,
     /// How many of them are heard.
-    pub heard: usize,
+    pub reachable: usize,
     /// What those have spent.
     pub spent: HashMap<Tag, Spent>,
     /// The daemons of this one's cell among them.
@@ -134,7 +134,7 @@
 
 impl Repeat {
     /// Part of the budget up to which such repeats are allowed.
-    fn part(self) -> f64 {
+    fn budget_fraction(self) -> f64 {
         match self {
             Repeat::Continuation => 1.0,
             Repeat::Retry => 0.8,
@@ -177,7 +177,7 @@
     pub fn allows(&mut self, service: &Arc<str>, repeat: Repeat, now: Instant) -> bool {
         let number = self.number(now);
         let all = self.others.daemons as f64 + 1.0;
-        let unheard = self.others.daemons.saturating_sub(self.others.heard) as f64;
+        let unheard = self.others.daemons.saturating_sub(self.others.reachable) as f64;
         let told = self.others.spent.get(&Tag::of(service)).copied().unwrap_or_default();
         let bounds = self.bounds;
         let window = self.window(service);
@@ -186,7 +186,7 @@
         let requests = f64::from(own.requests + told.requests);
         let slack = bounds.slack * (1.0 - unheard / all);
         let spent = f64::from(own.repeats + told.repeats + 1);
-        spent <= (bounds.ratio * requests + slack) * USED_FRACTION * repeat.part()
+        spent <= (bounds.ratio * requests + slack) * USED_FRACTION * repeat.budget_fraction()
     }
 
     /// Requests for a service a second, of all daemons that are heard.
@@ -208,17 +208,17 @@
 
     /// This daemon's part of the requests for a service of all daemons. Those that are not heard are taken to
     /// have as many each as the others; the parts of all daemons add up to one.
-    pub fn part(&mut self, service: &Arc<str>, now: Instant) -> f64 {
+    pub fn request_fraction(&mut self, service: &Arc<str>, now: Instant) -> f64 {
         let number = self.number(now);
         let told = self.others.spent.get(&Tag::of(service)).map_or(0, |spent| spent.requests);
         let all = self.others.daemons as f64 + 1.0;
-        let heard = self.others.heard as f64 + 1.0;
+        let reachable = self.others.reachable as f64 + 1.0;
         let window = self.window(service);
         window.slice(number);
         // What others told is some tenths of a second old, so that with what has just come here, each daemon
         // would take its own part for larger than it is when many requests begin to come.
         let own = f64::from(window.before(number).requests);
-        let requests = (own + f64::from(told)) * (all / heard).max(1.0);
+        let requests = (own + f64::from(told)) * (all / reachable).max(1.0);
         (own + ASSUMED_REQUESTS) / (requests + ASSUMED_REQUESTS * all)
     }
 
@@ -229,12 +229,12 @@
         let (told, near) = (told(&self.others.spent), told(&self.others.near.spent));
         let daemons = self.others.near.count() as f64;
         let all = self.others.daemons as f64 + 1.0;
-        let heard = self.others.heard as f64 + 1.0;
+        let reachable = self.others.reachable as f64 + 1.0;
         let number = self.number(now);
         let window = self.window(service);
         window.slice(number);
         let own = f64::from(window.before(number).requests);
-        let requests = (own + f64::from(told)) * (all / heard).max(1.0);
+        let requests = (own + f64::from(told)) * (all / reachable).max(1.0);
         let cell = own + f64::from(near);
         (cell + ASSUMED_REQUESTS * daemons) / (requests + ASSUMED_REQUESTS * all)
     }
--- a/src/gateway/cluster.rs
+++ b/src/gateway/cluster.rs
@@ -184,8 +184,8 @@
             return now.saturating_duration_since(since) > READ_LATELY + turn;
         }
         let turn = READ_STEP.saturating_mul(u32::try_from(before).unwrap_or(u32::MAX));
-        let told_late = if view.layout().divided { REPORT_DELAY } else { Duration::ZERO };
-        let lately = READ_LATELY + told_late + turn.min(LONGEST_TURN);
+        let report_delay = if view.layout().divided { REPORT_DELAY } else { Duration::ZERO };
+        let lately = READ_LATELY + report_delay + turn.min(LONGEST_TURN);
         read.is_none_or(|read| now.saturating_duration_since(read) > lately)
     }
 
@@ -252,14 +252,14 @@
         drop(view);
         // What was not told again in time no longer counts.
         self.unheard.store(true, Ordering::Release);
-        let (in_need, resting) = {
+        let (limited, backing_off) = {
             let mut servers = self.gateway.servers();
             servers.tidy(now);
             (servers.count_limited(), servers.count_backing_off())
         };
         let metrics = self.metrics();
-        metrics.limited_servers.set(in_need as i64);
-        metrics.resting_servers.set(resting as i64);
+        metrics.limited_servers.set(limited as i64);
+        metrics.resting_servers.set(backing_off as i64);
     }
 
     /// Daemons that this one sends heartbeats to.
@@ -319,7 +319,7 @@
     }
 
     async fn talk(self: &Arc<Self>, addr: SocketAddr, handler: &Arc<dyn Handler>) {
-        let (mut news, mut loads) = (self.gateway.news(), self.gateway.load_changes());
+        let (mut news, mut loads) = (self.gateway.urgent_changes(), self.gateway.load_changes());
         let mut copy = self.gateway.copy_changes();
         let mut pace = Pace::default();
         loop {
@@ -369,9 +369,9 @@
     ) -> Heartbeat {
         let mut view = self.view();
         let spent = self.gateway.spent(now);
-        let evidence = self.gateway.quarantine().told(now);
-        let rollouts = self.gateway.rollouts().told(now);
-        let (told, signs) = {
+        let evidence = self.gateway.quarantine().for_peers(now);
+        let rollouts = self.gateway.rollouts().for_peers(now);
+        let (stats, observations) = {
             let servers = self.gateway.servers();
             let (loads, outcomes) = (servers.own_loads(), servers.own_outcomes(now));
             let tallies = rollouts.tallies.into_iter().collect();
@@ -381,11 +381,11 @@
                 servers.observations(now),
             )
         };
-        let own = Own { told, ready: (self.ready)() };
+        let own = Own { stats, ready: (self.ready)() };
         Heartbeat {
             copy_status: self.mirror.copy_status(now),
             failed_ms: self.mirror.last_failure().map(|at| millis(at, now)),
-            observations: signs,
+            observations,
             ..view.heartbeat(to, relation, own, pace, now)
         }
     }
@@ -486,8 +486,8 @@
 }
 
 impl Hearing for Cluster {
-    fn heard(&self, now: Instant) -> Option<PeerStats> {
-        self.unheard.swap(false, Ordering::AcqRel).then(|| self.view().heard(now))
+    fn peer_stats(&self, now: Instant) -> Option<PeerStats> {
+        self.unheard.swap(false, Ordering::AcqRel).then(|| self.view().peer_stats(now))
     }
 
     fn ahead(&self, server: Tag, now: Instant) -> Load {
--- a/src/gateway/cluster/answering.rs
+++ b/src/gateway/cluster/answering.rs
@@ -4,7 +4,7 @@
 use crate::gateway::heartbeat::{Heartbeat, Request};
 use crate::gateway::update::Update;
 use crate::message;
-use crate::peer::{Handler, Held};
+use crate::peer::{Handler, PeerStream};
 use crate::platform::Position;
 use crate::time;
 use futures_util::future::BoxFuture;
@@ -16,48 +16,48 @@
 
 impl Answering {
     /// Small values that a copy at `position` lacks. A copy that lacks everything waits its turn.
-    async fn give_small(&self, position: Position, held: &mut Held) {
+    async fn give_small(&self, position: Position, peer_stream: &mut PeerStream) {
         let now = time::now();
         match self.0.mirror.update_after(position, now).filter(|update| !update.full) {
-            Some(update) => send(Some(update), held).await,
-            None => self.give_all(position, held).await,
+            Some(update) => send(Some(update), peer_stream).await,
+            None => self.give_all(position, peer_stream).await,
         }
     }
 
     /// All that a copy at `position` lacks; nothing while this daemon gives to others.
-    async fn give_all(&self, position: Position, held: &mut Held) {
+    async fn give_all(&self, position: Position, peer_stream: &mut PeerStream) {
         let permit = self.0.giving.try_acquire();
         let update = match &permit {
             Ok(_) => self.0.mirror.all_after(position, time::now()),
             Err(_) => None,
         };
-        send(update, held).await;
+        send(update, peer_stream).await;
     }
 }
 
-async fn send(update: Option<Update>, held: &mut Held) {
-    if held.send(&update).await.is_ok() {
-        held.finish().await;
+async fn send(update: Option<Update>, peer_stream: &mut PeerStream) {
+    if peer_stream.send(&update).await.is_ok() {
+        peer_stream.finish().await;
     }
 }
 
 impl Handler for Answering {
-    fn told(&self, bytes: &[u8]) {
+    fn on_message(&self, bytes: &[u8]) {
         match message::decode::<Heartbeat>(bytes) {
             Ok(heartbeat) => self.0.hear(heartbeat, time::now()),
             Err(e) => warn!(why = format!("{e:?}").as_str(); "heartbeat not readable"),
         }
     }
 
-    fn stream(&self, first: Vec<u8>, mut held: Held) -> BoxFuture<'_, ()> {
+    fn stream(&self, first: Vec<u8>, mut peer_stream: PeerStream) -> BoxFuture<'_, ()> {
         Box::pin(async move {
             match message::decode::<Request>(&first) {
-                Ok(Request::After(position)) => self.give_small(position, &mut held).await,
-                Ok(Request::AllAfter(position)) => self.give_all(position, &mut held).await,
+                Ok(Request::After(position)) => self.give_small(position, &mut peer_stream).await,
+                Ok(Request::AllAfter(position)) => self.give_all(position, &mut peer_stream).await,
                 Ok(Request::Room(wanted)) => {
                     let given = self.0.gateway.lend_quota(&wanted, time::now());
-                    if held.send(&given).await.is_ok() {
-                        held.finish().await;
+                    if peer_stream.send(&given).await.is_ok() {
+                        peer_stream.finish().await;
                     }
                 }
                 Err(e) => warn!(why = format!("{e:?}").as_str(); "request of a peer not readable"),
--- a/src/gateway/cold.rs
+++ b/src/gateway/cold.rs
@@ -106,7 +106,7 @@
 
 impl Cold {
     /// It said how long it stays cold, some time before now.
-    pub(crate) fn told(&mut self, left: Duration, now: Instant) {
+    pub(crate) fn reported(&mut self, left: Duration, now: Instant) {
         // A time that has no end says nothing.
         let until = now.checked_add(left).filter(|until| *until > now);
         self.until = self.until.max(until);
--- a/src/gateway/core.rs
+++ b/src/gateway/core.rs
@@ -56,7 +56,7 @@
 /// often as requests, and to add up what hundreds of daemons told of thousands of servers takes 0.5 ms.
 pub trait Hearing: Send + Sync {
     /// What the others have running; `None` where nothing has come since it was last asked for.
-    fn heard(&self, now: Instant) -> Option<PeerStats>;
+    fn peer_stats(&self, now: Instant) -> Option<PeerStats>;
     /// What the daemons of the same cell that rank before this one have running at a server.
     fn ahead(&self, server: Tag, now: Instant) -> Load;
     /// Asks other daemons for room for one request at one of these servers, which are in need. Says at
@@ -106,7 +106,7 @@
     /// When the process ends, once a planned stop has begun.
     ends: Mutex<Option<Instant>>,
     /// Counts what other daemons should hear at once.
-    news: watch::Sender<u64>,
+    urgent_changes: watch::Sender<u64>,
     /// Counts changes of this daemon's copy of the store.
     copy_news: watch::Sender<u64>,
     /// How often the store has come back from an older copy of itself, as far as known.
@@ -151,7 +151,7 @@
             divided: AtomicBool::new(false),
             late: Mutex::new(0.0),
             ends: Mutex::default(),
-            news: watch::Sender::new(0),
+            urgent_changes: watch::Sender::new(0),
             copy_news: watch::Sender::new(0),
             era: watch::Sender::new(0),
             load_news: watch::Sender::new(0),
@@ -223,7 +223,7 @@
 
     /// Something happened that other daemons should hear at once.
     pub fn tell(&self) {
-        self.news.send_modify(|count| *count += 1);
+        self.urgent_changes.send_modify(|count| *count += 1);
     }
 
     /// What this daemon has running has changed.
@@ -271,8 +271,8 @@
     }
 
     /// Tells of what other daemons should hear at once.
-    pub fn news(&self) -> watch::Receiver<u64> {
-        self.news.subscribe()
+    pub fn urgent_changes(&self) -> watch::Receiver<u64> {
+        self.urgent_changes.subscribe()
     }
 
     /// The turn of this daemon's own runs that move away from a server: one at a time.
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -157,12 +157,12 @@
         // Only what arrives at a server beyond the first time counts as a repeat.
         match arrived {
             0 => {
-                let standing = self.admission_class();
-                self.gateway.slot(&self.service, self.call, standing, &self.tried, now)
+                let admission_class = self.admission_class();
+                self.gateway.slot(&self.service, self.call, admission_class, &self.tried, now)
             }
             _ => {
-                let standing = AdmissionClass::Returned;
-                self.gateway.slot_again(&self.service, self.call, standing, &self.tried, now)
+                let admission_class = AdmissionClass::Returned;
+                self.gateway.slot_again(&self.service, self.call, admission_class, &self.tried, now)
             }
         }
     }
--- a/src/gateway/heartbeat.rs
+++ b/src/gateway/heartbeat.rs
@@ -98,7 +98,7 @@
     /// Where callers may be sent: some of these daemons.
     pub entries: Vec<SocketAddr>,
     /// What they have running and have spent.
-    pub told: DaemonStats,
+    pub stats: DaemonStats,
 }
 
 /// A request between daemons.
--- a/src/gateway/limit.rs
+++ b/src/gateway/limit.rs
@@ -95,7 +95,7 @@
     /// When the last limit was found to be over.
     ended: Option<Instant>,
     /// Requests that this daemon may send, parts of one included; `None` until it first looks.
-    room: Option<f64>,
+    quota: Option<f64>,
     /// The moment for which that holds.
     at: Option<Instant>,
     /// Whether this daemon keeps whole requests without end, as those of small fleets do.
@@ -105,8 +105,8 @@
 }
 
 /// Room of which what is over `most` lapses: whole requests, so that the daemons' moments stay spread.
-fn lapse(room: f64, most: f64) -> f64 {
-    room - (room - most).max(0.0).ceil()
+fn lapse(quota: f64, most: f64) -> f64 {
+    quota - (quota - most).max(0.0).ceil()
 }
 
 /// How many daemons of a cell hold room where the server bears so many requests at once, and this daemon's part.
@@ -136,7 +136,7 @@
             (None, None) => false,
             (Some(before), Some(rate)) => (rate - before).abs() > before * URGENT_CHANGE,
             _ => {
-                (self.room, self.at) = (None, Some(now));
+                (self.quota, self.at) = (None, Some(now));
                 self.ended = rate.is_none().then_some(now);
                 true
             }
@@ -157,14 +157,14 @@
     pub fn settle(&mut self, share: Share, now: Instant) {
         let since = self.at.replace(now).unwrap_or(now);
         let at_once = self.pace() * AT_ONCE.as_secs_f64() + SPARE;
-        let (holders, part) = held(share, at_once);
+        let (holders, fraction) = held(share, at_once);
         self.holders = holders;
-        let pace = self.pace() * part;
-        let grown = self.room.unwrap_or(share.phase)
+        let pace = self.pace() * fraction;
+        let grown = self.quota.unwrap_or(share.phase)
             + pace * now.saturating_duration_since(since).as_secs_f64();
-        let own = part * at_once;
+        let own = fraction * at_once;
         self.keeps = own >= 1.0;
-        self.room = Some(match self.keeps {
+        self.quota = Some(match self.keeps {
             true => grown.min(own),
             false => lapse(grown, 1.0 + pace * QUOTA_LIFETIME.as_secs_f64()),
         });
@@ -173,7 +173,7 @@
     /// Requests that this daemon may send as of when that was last brought up to date; `None` where no limit is
     /// in force.
     pub fn quota(&self) -> Option<f64> {
-        self.rate.map(|_| self.room.unwrap_or(0.0))
+        self.rate.map(|_| self.quota.unwrap_or(0.0))
     }
 
     /// Whether daemons may give each other room: in a large fleet, what all of them hold for a moment is more than
@@ -189,16 +189,16 @@
 
     /// Notes that a request goes there, whether there was room for it or not.
     pub fn take(&mut self) {
-        self.room = self.room.map(|room| room - 1.0);
+        self.quota = self.quota.map(|quota| quota - 1.0);
     }
 
     /// Notes that a request for which room was taken does not go there.
     pub fn give_back(&mut self) {
-        self.room = self.room.map(|room| room + 1.0);
+        self.quota = self.quota.map(|quota| quota + 1.0);
     }
 
     /// What other daemons should hear of it.
-    pub fn told(&self, now: Instant) -> Option<Said> {
+    pub fn for_peers(&self, now: Instant) -> Option<Said> {
         let over = |at: Instant| now.saturating_duration_since(at) < ENDED;
         let matters = self.rate.is_some() || self.ended.is_some_and(over);
         let said = self.said.filter(|_| matters)?;
--- a/src/gateway/limited.rs
+++ b/src/gateway/limited.rs
@@ -19,7 +19,7 @@
 /// Whether a server takes one more request of this daemon: it names no limit, or the daemon has room there, which
 /// the request `may_use`.
 pub(super) fn has_quota(server: &Server, may_use: bool) -> bool {
-    server.limit().quota().is_none_or(|room| may_use && room >= 1.0)
+    server.limit().quota().is_none_or(|quota| may_use && quota >= 1.0)
 }
 
 impl Gateway {
@@ -34,30 +34,31 @@
         // Most often there are none, and nothing more is to be done.
         servers.limited(service).next()?;
         let mut budget = self.budget();
-        let (part, cell_part) = (budget.part(service, now), budget.cell_fraction(service, now));
+        let (fraction, cell_fraction) =
+            (budget.request_fraction(service, now), budget.cell_fraction(service, now));
         let (_, rank) = *self.cold.lock().expect("no holder panics");
         let near = budget.near();
         let share = |server: Tag| {
             let (daemons, place) = (near.count(), near.place(server));
-            let cell = CellShare { fraction: cell_part, daemons, place };
-            Share { fraction: part, phase: rank.phase(server), cell }
+            let cell = CellShare { fraction: cell_fraction, daemons, place };
+            Share { fraction, phase: rank.phase(server), cell }
         };
         servers.settle_limits(service, share, now);
         drop(budget);
-        let in_need = servers.limited(service).filter(|(key, server)| may_take(*key, server));
-        in_need.fold(None, |room: Option<Quota>, (_, server)| {
-            let (limit, mut room) = (server.limit(), room.unwrap_or_default());
-            room.now += limit.quota().unwrap_or_default().max(0.0).floor();
-            room.pace += limit.pace() * part;
-            room.all += limit.pace();
-            Some(room)
+        let limited = servers.limited(service).filter(|(key, server)| may_take(*key, server));
+        limited.fold(None, |quota: Option<Quota>, (_, server)| {
+            let (limit, mut quota) = (server.limit(), quota.unwrap_or_default());
+            quota.now += limit.quota().unwrap_or_default().max(0.0).floor();
+            quota.pace += limit.pace() * fraction;
+            quota.all += limit.pace();
+            Some(quota)
         })
     }
 
     /// Whether a request of such a standing may use the room at servers in need.
     pub(super) fn may_use(
         &self,
-        room: Quota,
+        quota: Quota,
         service: &Arc<str>,
         admission_class: AdmissionClass,
         now: Instant,
@@ -65,7 +66,7 @@
         match admission_class {
             AdmissionClass::Newcomer => {
                 let mut promises = self.promises();
-                promises.entry(service.clone()).or_default().newcomer_may_use(room, now)
+                promises.entry(service.clone()).or_default().newcomer_may_use(quota, now)
             }
             AdmissionClass::Returned | AdmissionClass::Begun => true,
         }
@@ -83,7 +84,7 @@
     /// Why a request gets no slot where no server has room, and when there is some.
     pub(super) fn no_quota(
         &self,
-        room: Quota,
+        quota: Quota,
         service: &Arc<str>,
         call: &Call,
         now: Instant,
@@ -91,7 +92,7 @@
         let demand = self.budget().rate(service, now);
         let mut promises = self.promises();
         let promises = promises.entry(service.clone()).or_default();
-        let back = promises.come_back(room, demand, call.left(now), now);
+        let back = promises.come_back(quota, demand, call.left(now), now);
         NoSlot { why: SERVERS_IN_NEED, come_back: back.after, due: back.due }
     }
 
@@ -134,8 +135,8 @@
     pub(super) fn lend_quota(&self, wanted: &[Tag], now: Instant) -> Option<Tag> {
         let mut servers = self.servers();
         let service = servers.tagged(*wanted.first()?)?.record.service.clone();
-        let room = self.limited_quota(&mut servers, &service, |_, _| true, now)?;
-        match self.may_use(room, &service, AdmissionClass::Newcomer, now) {
+        let quota = self.limited_quota(&mut servers, &service, |_, _| true, now)?;
+        match self.may_use(quota, &service, AdmissionClass::Newcomer, now) {
             true => servers.lend(wanted),
             false => None,
         }
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -25,7 +25,7 @@
 use crate::platform::Position;
 use log::{info, warn};
 use retained::Retention;
-use state::{Held, News, State};
+use state::{IncomingChange, KeyState, State};
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
@@ -77,9 +77,9 @@
 
     /// Takes in all keys, read at `position`, as the store stood at `seen`.
     pub fn replace(&self, entries: Vec<Entry>, position: Position, seen: Instant, now: Instant) {
-        let news = entries.into_iter().map(News::from).collect();
+        let incoming = entries.into_iter().map(IncomingChange::from).collect();
         let crosses = self.enter_era(&mut self.state(), position, position, now);
-        self.replace_all(news, position, crosses, seen, now);
+        self.replace_all(incoming, position, crosses, seen, now);
         if crosses {
             self.state().log_era("store");
         }
@@ -88,7 +88,7 @@
     /// Takes in all keys as of a position, which `crosses` into a later era or doesn't.
     fn replace_all(
         &self,
-        news: Vec<News>,
+        incoming: Vec<IncomingChange>,
         position: Position,
         crosses: bool,
         seen: Instant,
@@ -102,12 +102,14 @@
             self.gateway.metrics.store_reads.with_label_values(&["older"]).inc();
             return;
         }
-        let listed: HashSet<&str> = news.iter().map(|news| news.key.as_str()).collect();
-        let is_gone = |(key, held): &(&Arc<str>, &Held)| {
-            !held.content.is_deleted() && held.revision <= position && !listed.contains(&***key)
+        let listed: HashSet<&str> = incoming.iter().map(|incoming| incoming.key.as_str()).collect();
+        let is_gone = |(key, key_state): &(&Arc<str>, &KeyState)| {
+            !key_state.content.is_deleted()
+                && key_state.revision <= position
+                && !listed.contains(&***key)
         };
         let gone: Vec<String> =
-            state.held.iter().filter(is_gone).map(|(key, _)| key.to_string()).collect();
+            state.keys.iter().filter(is_gone).map(|(key, _)| key.to_string()).collect();
         // Keys that were written and deleted since this copy's last position were never seen.
         state.forgotten = position;
         let before = state.position;
@@ -116,58 +118,66 @@
             let change = Change { key, value: None, revision: position };
             self.take(&mut state, change.into(), seen, now);
         }
-        for news in news {
+        for incoming in incoming {
             // What was written since may have gone in between, however it looks: peers that saw it go must be
             // told that it is back. Those that saw more of the era before than this copy are given everything.
-            let mattered = (!crosses && news.revision > before).then_some(news.revision);
-            self.take(&mut state, News { mattered, ..news }, seen, now);
+            let mattered = (!crosses && incoming.revision > before).then_some(incoming.revision);
+            self.take(&mut state, IncomingChange { mattered, ..incoming }, seen, now);
         }
         state.server_changes.log();
     }
 
     /// Takes in all changes up to `position`, as the store stood at `seen`.
     pub fn advance(&self, changes: Vec<Change>, position: Position, seen: Instant, now: Instant) {
-        self.take_all(changes.into_iter().map(News::from).collect(), position, seen, now);
+        self.take_all(changes.into_iter().map(IncomingChange::from).collect(), position, seen, now);
     }
 
-    fn take_all(&self, news: Vec<News>, position: Position, seen: Instant, now: Instant) {
+    fn take_all(
+        &self,
+        incoming: Vec<IncomingChange>,
+        position: Position,
+        seen: Instant,
+        now: Instant,
+    ) {
         let mut state = self.state();
         self.confirm(&mut state, position, seen, now);
-        for news in news {
-            self.take(&mut state, news, seen, now);
+        for incoming in incoming {
+            self.take(&mut state, incoming, seen, now);
         }
         state.server_changes.log();
     }
 
     /// Hears a peer's statement that was true at `seen` or later. Says what this copy lacks.
-    pub fn hear(&self, statement: CopyStatus, seen: Instant, now: Instant) -> Lack {
+    pub fn hear(&self, copy_status: CopyStatus, seen: Instant, now: Instant) -> Lack {
         let mut state = self.state();
-        if statement.position.era != state.position.era {
-            return state.lack(&statement);
+        if copy_status.position.era != state.position.era {
+            return state.lack(&copy_status);
         }
-        if state.position < statement.since {
+        if state.position < copy_status.since {
             // The peer can't tell what was deleted between the two; another one may.
             let untold = state.confirmed.is_none() || state.age(now) > UNTOLD;
             return if untold { Lack::Changes } else { Lack::Nothing };
         }
-        let lack = state.lack(&statement);
+        let lack = state.lack(&copy_status);
         if lack == Lack::Nothing {
             // What stands at the peer may be newer than what is in force here.
             let known = [0, state.retained_checksum()];
-            if !known.contains(&statement.retained) && !state.asked.contains(&statement.retained) {
+            if !known.contains(&copy_status.retained)
+                && !state.asked.contains(&copy_status.retained)
+            {
                 return Lack::Changes;
             }
-            state.servers = state.servers.max(statement.servers);
-            if statement.position >= state.position {
-                self.confirm(&mut state, statement.position, seen, now);
+            state.servers = state.servers.max(copy_status.servers);
+            if copy_status.position >= state.position {
+                self.confirm(&mut state, copy_status.position, seen, now);
             }
         }
         lack
     }
 
     /// What this copy lacks against a peer's statement of which it is not known when it was true.
-    pub fn lack(&self, statement: &CopyStatus) -> Lack {
-        self.state().lack(statement)
+    pub fn lack(&self, copy_status: &CopyStatus) -> Lack {
+        self.state().lack(copy_status)
     }
 
     /// Notes at `now` that the store answered some daemon at `at`.
@@ -202,25 +212,25 @@
 
     /// What a copy at `after` lacks, of values with up to `most` bytes.
     fn update(&self, after: Position, most: usize, now: Instant) -> Option<Update> {
-        let statement = self.copy_status(now)?;
+        let copy_status = self.copy_status(now)?;
         let state = self.state();
         let whole = !state.spans(after);
         // Told apart before any value is copied: a large one may have a megabyte.
-        let is_given = |(_, held): &(&Arc<str>, &Held)| held.content.bytes() <= most;
+        let is_given = |(_, key_state): &(&Arc<str>, &KeyState)| key_state.content.bytes() <= most;
         let (given, left): (Vec<_>, Vec<_>) = match whole {
-            true => state.held.iter().partition(is_given),
+            true => state.keys.iter().partition(is_given),
             false => state.changed_after(after).partition(is_given),
         };
-        let cell = |(key, held): (&Arc<str>, &Held)| Cell {
+        let cell = |(key, key_state): (&Arc<str>, &KeyState)| Cell {
             key: key.to_string(),
-            revision: held.revision,
-            mattered: held.mattered,
-            content: held.content.clone(),
+            revision: key_state.revision,
+            mattered: key_state.mattered,
+            content: key_state.content.clone(),
         };
         let cells = given.into_iter().map(cell).collect();
         let (retained, all_retained) = state.retained_for_peer(most, now);
         let (base, complete) = (state.base, left.is_empty() && all_retained);
-        Some(Update { copy_status: statement, full: whole, complete, base, cells, retained })
+        Some(Update { copy_status, full: whole, complete, base, cells, retained })
     }
 
     /// Takes in what a peer gave, true at `seen` or later.
@@ -237,7 +247,13 @@
         match update.full && update.complete {
             true => {
                 let live = update.cells.into_iter().filter(|cell| !cell.content.is_deleted());
-                self.replace_all(live.map(News::from).collect(), position, crosses, seen, now);
+                self.replace_all(
+                    live.map(IncomingChange::from).collect(),
+                    position,
+                    crosses,
+                    seen,
+                    now,
+                );
                 self.adopt(&mut self.state(), update.retained, now);
             }
             false => self.apply_changes(update, crosses, seen, now),
@@ -253,12 +269,13 @@
         if crosses && !update.full {
             self.state().forgotten = since;
         }
-        let mut news: Vec<News> = update.cells.into_iter().map(News::from).collect();
-        news.sort_by_key(|news| news.revision);
+        let mut incoming: Vec<IncomingChange> =
+            update.cells.into_iter().map(IncomingChange::from).collect();
+        incoming.sort_by_key(|incoming| incoming.revision);
         let is_crossed = self.state().position.era < position.era;
         match update.complete {
-            true => self.take_all(news, position, seen, now),
-            false => self.take_ahead(news, seen, now),
+            true => self.take_all(incoming, position, seen, now),
+            false => self.take_ahead(incoming, seen, now),
         }
         let mut state = self.state();
         if is_crossed && update.complete {
@@ -280,7 +297,7 @@
         seen: Instant,
         now: Instant,
     ) {
-        self.take_ahead(changes.into_iter().map(News::from).collect(), seen, now);
+        self.take_ahead(changes.into_iter().map(IncomingChange::from).collect(), seen, now);
         let mut state = self.state();
         state.servers = state.servers.max(position);
     }
@@ -295,22 +312,22 @@
         [self.schema.servers(), self.schema.closed_halls(), self.schema.rollouts()]
     }
 
-    fn take_ahead(&self, news: Vec<News>, seen: Instant, now: Instant) {
+    fn take_ahead(&self, incoming: Vec<IncomingChange>, seen: Instant, now: Instant) {
         let mut state = self.state();
-        for news in news {
-            self.take(&mut state, news, seen, now);
+        for incoming in incoming {
+            self.take(&mut state, incoming, seen, now);
         }
         state.server_changes.log();
     }
 
     /// Takes in some keys before all have been read.
     pub fn take_early(&self, entries: Vec<Entry>, seen: Instant, now: Instant) {
-        self.take_ahead(entries.into_iter().map(News::from).collect(), seen, now);
+        self.take_ahead(entries.into_iter().map(IncomingChange::from).collect(), seen, now);
     }
 
     /// Whether the store holds a key, as far as known.
     pub fn lists(&self, key: &str) -> bool {
-        self.state().held.get(key).is_some_and(|held| !held.content.is_deleted())
+        self.state().keys.get(key).is_some_and(|key_state| !key_state.content.is_deleted())
     }
 
     /// The prefix of the keys of a hall's daemons.
@@ -369,13 +386,13 @@
         self.gateway.in_force.confirm(self.gateway.in_force.position(), seen);
     }
 
-    fn take(&self, state: &mut State, news: News, seen: Instant, now: Instant) {
-        let News { key, revision, content, mattered } = news;
+    fn take(&self, state: &mut State, incoming: IncomingChange, seen: Instant, now: Instant) {
+        let IncomingChange { key, revision, content, mattered } = incoming;
         if !self.is_wanted(&key) {
             return;
         }
-        let known = state.held.get(&*key);
-        if known.is_some_and(|held| held.revision >= revision) {
+        let known = state.keys.get(&*key);
+        if known.is_some_and(|key_state| key_state.revision >= revision) {
             return;
         }
         let is_server = key.starts_with(self.schema.servers());
@@ -399,7 +416,7 @@
         let is_new = is_new || (is_of_later_era && is_record);
         let kept = state.retained.get(&*key);
         let lost = self.lost(state, &key, known, revision, &content, now);
-        let last = known.map_or(Position::START, |held| held.mattered);
+        let last = known.map_or(Position::START, |key_state| key_state.mattered);
         let mattered = match mattered {
             // Told by a copy that came through a loss, with the change's place of before.
             Some(mattered) if is_new && mattered <= last => revision,
@@ -408,7 +425,7 @@
             None => last,
         };
         let matters = is_new || mattered > last;
-        state.hold(&key, Held { revision, mattered, content: content.clone() });
+        state.hold(&key, KeyState { revision, mattered, content: content.clone() });
         let stays = lost.is_some();
         match lost {
             Some(kept) => self.retain(state, &key, kept, now),
@@ -437,7 +454,7 @@
         &self,
         state: &State,
         key: &str,
-        known: Option<&Held>,
+        known: Option<&KeyState>,
         revision: Position,
         content: &Content,
         now: Instant,
--- a/src/gateway/mirror/retained.rs
+++ b/src/gateway/mirror/retained.rs
@@ -123,8 +123,8 @@
         content: &Content,
         now: Instant,
     ) {
-        let held = state.held.get(key).filter(|held| !held.content.is_deleted());
-        let at = held.map_or(Position::START, |held| held.revision);
+        let key_state = state.keys.get(key).filter(|key_state| !key_state.content.is_deleted());
+        let at = key_state.map_or(Position::START, |key_state| key_state.revision);
         let Content::Value(value) = content else {
             return;
         };
@@ -154,10 +154,10 @@
     pub(super) fn adopt(&self, state: &mut State, retained: Vec<Retained>, now: Instant) {
         for value in retained {
             let Retained { key, content, position, over, left_ms } = value;
-            let held = state.held.get(&*key);
-            let is_written = held.is_some_and(|held| held.revision > over);
+            let key_state = state.keys.get(&*key);
+            let is_written = key_state.is_some_and(|key_state| key_state.revision > over);
             let stands = state.retained.get(&*key).map(|kept| kept.position);
-            let is_same = held.is_some_and(|held| held.content == content);
+            let is_same = key_state.is_some_and(|key_state| key_state.content == content);
             if is_written || is_same || stands.is_some_and(|stands| stands >= position) {
                 continue;
             }
@@ -182,9 +182,10 @@
         for key in due {
             state.retained.remove(&key);
             info!(key = &*key; "a value that the store has lost was not written again");
-            let held = state.held.get(&key).cloned();
-            let (at, content) = held
-                .map_or((state.position, Content::Deleted), |held| (held.revision, held.content));
+            let key_state = state.keys.get(&key).cloned();
+            let (at, content) = key_state.map_or((state.position, Content::Deleted), |key_state| {
+                (key_state.revision, key_state.content)
+            });
             self.enforce(state, &key, at, &content, now, now);
         }
     }
--- a/src/gateway/mirror/state.rs
+++ b/src/gateway/mirror/state.rs
@@ -19,7 +19,7 @@
 const MOST_CROSSINGS: usize = 4;
 
 #[derive(Debug, Clone)]
-pub(super) struct Held {
+pub(super) struct KeyState {
     pub(super) revision: Position,
     /// Its last change that matters: a server's signs of life since then are not given to
     /// peers, which would get some hundred bytes a second for each server of the fleet.
@@ -27,7 +27,7 @@
     pub(super) content: Content,
 }
 
-impl Held {
+impl KeyState {
     /// Whether its last change is of an earlier era.
     pub(super) fn is_before(&self, era: u64) -> bool {
         self.revision.era < era
@@ -36,7 +36,7 @@
 
 #[derive(Default)]
 pub(super) struct State {
-    pub(super) held: HashMap<Arc<str>, Held>,
+    pub(super) keys: HashMap<Arc<str>, KeyState>,
     /// The keys by their last change that matters: what a peer lacks is found without a look at all.
     pub(super) order: BTreeSet<(Position, Arc<str>)>,
     /// How many of the keys are deleted ones.
@@ -81,7 +81,7 @@
 }
 
 /// A change on its way into the copy.
-pub(super) struct News {
+pub(super) struct IncomingChange {
     pub(super) key: String,
     pub(super) revision: Position,
     pub(super) content: Content,
@@ -89,25 +89,25 @@
     pub(super) mattered: Option<Position>,
 }
 
-impl From<Change> for News {
-    fn from(change: Change) -> News {
+impl From<Change> for IncomingChange {
+    fn from(change: Change) -> IncomingChange {
         let Change { key, value, revision } = change;
         let content = value.map_or(Content::Deleted, |value| Content::Value(value.into()));
-        News { key, revision, content, mattered: None }
+        IncomingChange { key, revision, content, mattered: None }
     }
 }
 
-impl From<Entry> for News {
-    fn from(entry: Entry) -> News {
+impl From<Entry> for IncomingChange {
+    fn from(entry: Entry) -> IncomingChange {
         let Entry { key, value, revision } = entry;
-        News::from(Change { key, value: Some(value), revision })
+        IncomingChange::from(Change { key, value: Some(value), revision })
     }
 }
 
-impl From<Cell> for News {
-    fn from(cell: Cell) -> News {
+impl From<Cell> for IncomingChange {
+    fn from(cell: Cell) -> IncomingChange {
         let Cell { key, revision, mattered, content } = cell;
-        News { key, revision, content, mattered: Some(mattered) }
+        IncomingChange { key, revision, content, mattered: Some(mattered) }
     }
 }
 
@@ -132,11 +132,11 @@
 
 impl State {
     /// Holds a key's latest change.
-    pub(super) fn hold(&mut self, key: &str, held: Held) {
-        let shared = self.held.get_key_value(key).map(|(key, _)| key.clone());
+    pub(super) fn hold(&mut self, key: &str, key_state: KeyState) {
+        let shared = self.keys.get_key_value(key).map(|(key, _)| key.clone());
         let shared = shared.unwrap_or_else(|| key.into());
-        let (mattered, deleted) = (held.mattered, held.content.is_deleted());
-        let before = self.held.insert(shared.clone(), held);
+        let (mattered, deleted) = (key_state.mattered, key_state.content.is_deleted());
+        let before = self.keys.insert(shared.clone(), key_state);
         self.deleted += usize::from(deleted);
         if let Some(before) = before {
             self.deleted -= usize::from(before.content.is_deleted());
@@ -153,19 +153,20 @@
         if self.deleted <= MOST_DELETED {
             return;
         }
-        let gone = self.held.values().filter(|held| held.content.is_deleted());
-        let mut gone: Vec<Position> = gone.map(|held| held.revision).collect();
+        let gone = self.keys.values().filter(|key_state| key_state.content.is_deleted());
+        let mut gone: Vec<Position> = gone.map(|key_state| key_state.revision).collect();
         gone.sort_unstable();
         let middle = gone[gone.len() / 2];
         let order = &mut self.order;
-        self.held.retain(|key, held| {
-            let kept = !held.content.is_deleted() || held.revision > middle;
+        self.keys.retain(|key, key_state| {
+            let kept = !key_state.content.is_deleted() || key_state.revision > middle;
             if !kept {
-                order.remove(&(held.mattered, key.clone()));
+                order.remove(&(key_state.mattered, key.clone()));
             }
             kept
         });
-        self.deleted = self.held.values().filter(|held| held.content.is_deleted()).count();
+        self.deleted =
+            self.keys.values().filter(|key_state| key_state.content.is_deleted()).count();
         self.forgotten = self.forgotten.max(middle);
     }
 
@@ -173,9 +174,9 @@
     pub(super) fn changed_after(
         &self,
         after: Position,
-    ) -> impl Iterator<Item = (&Arc<str>, &Held)> {
+    ) -> impl Iterator<Item = (&Arc<str>, &KeyState)> {
         let newer = self.order.range((after.next(), Arc::from(""))..);
-        newer.map(|(_, key)| (key, &self.held[key]))
+        newer.map(|(_, key)| (key, &self.keys[key]))
     }
 
     /// Whether a copy at such a position can be told all that it lacks by what has mattered since.
@@ -187,8 +188,8 @@
     /// Notes that all keys are as the store had them at a position of this era: those that were not told of are as
     /// they were before.
     pub(super) fn restate(&mut self, since: Position) {
-        for held in self.held.values_mut().filter(|held| held.is_before(since.era)) {
-            held.revision = since;
+        for key_state in self.keys.values_mut().filter(|key_state| key_state.is_before(since.era)) {
+            key_state.revision = since;
         }
     }
 
--- a/src/gateway/policies.rs
+++ b/src/gateway/policies.rs
@@ -32,7 +32,7 @@
     fn choose(
         &self,
         candidates: &[Candidate<'_>],
-        _need: &PlacementRequest<'_>,
+        _request: &PlacementRequest<'_>,
         _now: Instant,
         rng: &mut dyn Rng,
     ) -> Option<ServerKey> {
@@ -52,7 +52,7 @@
     fn choose(
         &self,
         candidates: &[Candidate<'_>],
-        _need: &PlacementRequest<'_>,
+        _request: &PlacementRequest<'_>,
         _now: Instant,
         rng: &mut dyn Rng,
     ) -> Option<ServerKey> {
@@ -79,7 +79,7 @@
     fn choose(
         &self,
         candidates: &[Candidate<'_>],
-        _need: &PlacementRequest<'_>,
+        _request: &PlacementRequest<'_>,
         _now: Instant,
         _rng: &mut dyn Rng,
     ) -> Option<ServerKey> {
--- a/src/gateway/promises.rs
+++ b/src/gateway/promises.rs
@@ -46,11 +46,11 @@
 
 impl Promises {
     /// Whether a newcomer may use the room: it is not needed for callers who come back before there is more.
-    pub fn newcomer_may_use(&mut self, room: Quota, now: Instant) -> bool {
+    pub fn newcomer_may_use(&mut self, quota: Quota, now: Instant) -> bool {
         self.forget(now);
-        let ahead = Duration::try_from_secs_f64(1.0 / room.pace).unwrap_or(Duration::MAX);
+        let ahead = Duration::try_from_secs_f64(1.0 / quota.pace).unwrap_or(Duration::MAX);
         let soon = |due: &&Instant| due.saturating_duration_since(now) <= ahead;
-        room.now >= 1.0 + self.due.iter().filter(soon).count() as f64
+        quota.now >= 1.0 + self.due.iter().filter(soon).count() as f64
     }
 
     /// A caller who was refused before has come and takes room.
@@ -62,17 +62,17 @@
     /// When a caller that has so much time left should come back. Room is to be kept for it where it would wait
     /// for that; else it is told when what comes in a second now, `demand`, has been taken by all daemons
     /// together.
-    pub fn come_back(&mut self, room: Quota, demand: f64, left: Duration, now: Instant) -> Return {
+    pub fn come_back(&mut self, quota: Quota, demand: f64, left: Duration, now: Instant) -> Return {
         self.forget(now);
-        let wanted = (1.0 + self.due.len() as f64 - room.now).max(0.0);
-        let own = seconds(wanted / (room.pace * PROMISED_FRACTION));
+        let wanted = (1.0 + self.due.len() as f64 - quota.now).max(0.0);
+        let own = seconds(wanted / (quota.pace * PROMISED_FRACTION));
         // Each promise comes after the one before it.
         let last = self.due.back().map_or(Duration::ZERO, |due| due.saturating_duration_since(now));
         let own = own.max(last);
         match own <= left.mul_f64(WAITED_FRACTION) {
             true => Return { after: own, due: Some(now + own) },
             false => {
-                let others = seconds(demand / room.all).max(LEAST_AWAY);
+                let others = seconds(demand / quota.all).max(LEAST_AWAY);
                 Return { after: own.min(others), due: None }
             }
         }
--- a/src/gateway/quarantine.rs
+++ b/src/gateway/quarantine.rs
@@ -170,7 +170,7 @@
     /// What the other daemons told.
     others: HashMap<Fingerprint, Evidence>,
     /// Requests that are kept back, and until when.
-    held: HashMap<Fingerprint, Instant>,
+    quarantined: HashMap<Fingerprint, Instant>,
     /// Those that the store holds.
     stored: HashMap<Fingerprint, Instant>,
     /// Requests that were released, and when.
@@ -186,7 +186,7 @@
     pub fn survived(&mut self, request: Fingerprint, now: Instant) {
         self.survivors.note(request, now);
         self.own.remove(&request);
-        self.held.remove(&request);
+        self.quarantined.remove(&request);
     }
 
     /// Notes that a server, known by the tag of its start, ended as it began to run a request. Says whether
@@ -222,7 +222,7 @@
         for (request, evidence) in others {
             if evidence.survived {
                 self.own.remove(request);
-                self.held.remove(request);
+                self.quarantined.remove(request);
             }
             self.judge(*request, now);
         }
@@ -241,7 +241,7 @@
             self.quarantined_for(request, now).is_none() && !self.released.contains_key(&request);
         let proved = is_open && self.is_proved(request, now);
         if proved {
-            self.held.insert(request, now + MEMORY);
+            self.quarantined.insert(request, now + MEMORY);
             if self.own.contains_key(&request) {
                 self.unsaved.push(request);
             }
@@ -281,15 +281,17 @@
 
     /// How long a request is still kept back; `None` where it may be sent.
     pub fn quarantined_for(&self, request: Fingerprint, now: Instant) -> Option<Duration> {
-        let until = self.held.get(&request).max(self.stored.get(&request))?;
+        let until = self.quarantined.get(&request).max(self.stored.get(&request))?;
         let left = until.saturating_duration_since(now);
         (!left.is_zero()).then_some(left)
     }
 
     /// How many requests are kept back.
     pub fn count(&self, now: Instant) -> usize {
-        let all =
-            self.held.iter().chain(self.stored.iter().filter(|(r, _)| !self.held.contains_key(r)));
+        let all = self
+            .quarantined
+            .iter()
+            .chain(self.stored.iter().filter(|(r, _)| !self.quarantined.contains_key(r)));
         all.filter(|(_, until)| **until > now).count()
     }
 
@@ -301,7 +303,7 @@
     /// The store has lost its record of a request, which is to be written again.
     pub fn is_lost(&mut self, request: Fingerprint, now: Instant) {
         let until = self.stored.remove(&request).unwrap_or(now + MEMORY);
-        self.held.entry(request).or_insert(until);
+        self.quarantined.entry(request).or_insert(until);
         self.lost.push(request);
     }
 
@@ -310,7 +312,7 @@
     pub fn is_released(&mut self, request: Fingerprint, now: Instant) {
         self.released.insert(request, now);
         self.stored.remove(&request);
-        self.held.remove(&request);
+        self.quarantined.remove(&request);
         self.own.remove(&request);
         self.others.remove(&request);
     }
@@ -319,7 +321,7 @@
     pub fn is_empty(&self) -> bool {
         self.unsaved.is_empty()
             && self.lost.is_empty()
-            && self.held.is_empty()
+            && self.quarantined.is_empty()
             && self.stored.is_empty()
     }
 
@@ -335,16 +337,16 @@
 
     /// Whether a request should still be written to the store.
     pub fn is_unsaved(&self, request: Fingerprint, now: Instant) -> bool {
-        self.held.get(&request).is_some_and(|until| *until > now)
+        self.quarantined.get(&request).is_some_and(|until| *until > now)
             && !self.stored.contains_key(&request)
     }
 
     /// What this daemon has seen of suspected requests, for the others.
-    pub fn told(&mut self, now: Instant) -> Vec<(Fingerprint, Evidence)> {
+    pub fn for_peers(&mut self, now: Instant) -> Vec<(Fingerprint, Evidence)> {
         let age = |at: Instant| now.saturating_duration_since(at);
         self.own.retain(|_, suspicion| age(suspicion.last) < SUSPECTED);
         self.released.retain(|_, at| age(*at) < RELEASED);
-        self.held.retain(|_, until| *until > now);
+        self.quarantined.retain(|_, until| *until > now);
         let elsewhere = self.others.keys().filter(|request| !self.own.contains_key(request));
         let spoken_for = elsewhere.filter(|request| self.survivors.speaks_for(**request, now));
         let told = self.own.keys().chain(spoken_for);
--- a/src/gateway/reach.rs
+++ b/src/gateway/reach.rs
@@ -53,7 +53,7 @@
 
     /// For how long other daemons should pass over the server as well; `None` where only this one may
     /// have lost it. Passed on from daemon to daemon it does not grow.
-    pub(crate) fn told(&self, now: Instant) -> Option<Duration> {
+    pub(crate) fn for_peers(&self, now: Instant) -> Option<Duration> {
         let left = self.refuses?.saturating_duration_since(now);
         (!left.is_zero()).then_some(left)
     }
--- a/src/gateway/remarks.rs
+++ b/src/gateway/remarks.rs
@@ -21,20 +21,20 @@
     /// Takes in what an answer to something that was sent at `asked` says of its server.
     pub(crate) fn hear(&self, server: ServerKey, remarks: &Remarks, asked: Instant) {
         let now = time::now();
-        let news = self.servers().hear(server, remarks, asked, now);
-        if news == NewRemarks::default() {
+        let new = self.servers().hear(server, remarks, asked, now);
+        if new == NewRemarks::default() {
             return;
         }
         let id = self.server_id(server).unwrap_or_default();
-        if news.leaves {
+        if new.leaves {
             // The store may say so much later, or never, and every daemon sends requests there until it knows.
             info!(server = &*id; "server says that it leaves");
             self.tell();
         }
-        if let Some(rest) = remarks.backoff.filter(|_| news.rests) {
+        if let Some(rest) = remarks.backoff.filter(|_| new.backs_off) {
             info!(server = &*id, ms = rest.as_millis() as u64; "server asks for rest");
         }
-        if news.limit {
+        if new.limit {
             self.metrics.limited_servers.set(self.servers().count_limited() as i64);
             match remarks.limit {
                 LimitRemark::Rate(rate) => {
--- a/src/gateway/rollout.rs
+++ b/src/gateway/rollout.rs
@@ -206,7 +206,7 @@
 
     /// Part of a route's requests that go to the candidate in its trial: all routes get as many there, as far as
     /// they have them.
-    fn part(&self, route: Tag, bound: f64) -> f64 {
+    fn candidate_fraction(&self, route: Tag, bound: f64) -> f64 {
         let mut routes = self.routes();
         if !routes.contains(&route) {
             routes.push(route);
@@ -235,7 +235,7 @@
             return None;
         }
         let part = match drawn {
-            Draw::First(route, _) => self.part(route, bound),
+            Draw::First(route, _) => self.candidate_fraction(route, bound),
             Draw::Again => 0.0,
         };
         let part = match self.state {
--- a/src/gateway/rollout/rollouts.rs
+++ b/src/gateway/rollout/rollouts.rs
@@ -157,7 +157,7 @@
     }
 
     /// What this daemon tells others: how its requests went, and how old orders are.
-    pub fn told(&self, now: Instant) -> Reports {
+    pub fn for_peers(&self, now: Instant) -> Reports {
         let mut reports = Reports::default();
         for (_, rollout) in self.live() {
             reports.ages.insert(rollout.tag, millis(rollout.began, now));
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -134,7 +134,7 @@
         let leaving = watch::Sender::new(record.leaving);
         let tag = record.tag();
         let mut condition = Condition::default();
-        condition.cold.told(record.cold, now);
+        condition.cold.reported(record.cold, now);
         if record.leaving {
             condition.leaves(now);
         }
@@ -244,8 +244,8 @@
             || self.outcomes.at(now).tried >= LEAST_TRIED
             || self.others_outcomes.matter()
             || self.leaves_untold()
-            || self.reach.told(now).is_some()
-            || self.condition.limit.told(now).is_some()
+            || self.reach.for_peers(now).is_some()
+            || self.condition.limit.for_peers(now).is_some()
     }
 
     /// It leaves, which is never taken back. Says whether that is new.
@@ -273,7 +273,7 @@
     /// It was listed before, and what it said of itself then still holds.
     pub(super) fn resume(&mut self, condition: Condition, now: Instant) {
         self.condition = condition;
-        self.condition.cold.told(self.record.cold, now);
+        self.condition.cold.reported(self.record.cold, now);
         if self.record.leaving || condition.leaving().is_some() {
             self.leaves(now);
         }
@@ -284,7 +284,7 @@
         if record.leaving {
             self.leaves(now);
         }
-        self.condition.cold.told(record.cold, now);
+        self.condition.cold.reported(record.cold, now);
         self.named = true;
         self.record = record;
     }
--- a/src/gateway/servers.rs
+++ b/src/gateway/servers.rs
@@ -80,7 +80,7 @@
     /// as much as this daemon uses, not as much as there are.
     noted: HashSet<ServerKey>,
     /// Servers of which others told something, as of the last time.
-    heard: Vec<ServerKey>,
+    reported: Vec<ServerKey>,
     /// Servers that the store no longer lists and that still have runs of this daemon.
     unlisted: Vec<ServerKey>,
     /// Servers that name a limit.
@@ -317,10 +317,11 @@
         let listed = || self.noted().filter(|(key, _)| self.is_listed(*key)).map(|(_, s)| s);
         let leaving = listed().filter(|s| s.leaves_untold()).map(|s| s.tag);
         let refusing = listed().filter(|s| !*s.leaving.borrow()).filter_map(|s| {
-            let left = s.reach.told(now)?;
+            let left = s.reach.for_peers(now)?;
             Some((s.tag, u32::try_from(left.as_millis()).unwrap_or(u32::MAX)))
         });
-        let limits = self.noted().filter_map(|(_, s)| Some((s.tag, s.condition.limit.told(now)?)));
+        let limits =
+            self.noted().filter_map(|(_, s)| Some((s.tag, s.condition.limit.for_peers(now)?)));
         Observations {
             leaving: leaving.collect(),
             refusing: refusing.collect(),
@@ -483,7 +484,7 @@
     /// Sets what the other daemons have at each server and how their exchanges went. Servers that are
     /// not named have nothing of theirs.
     pub fn set_others(&mut self, heard: &PeerStats) {
-        for key in std::mem::take(&mut self.heard) {
+        for key in std::mem::take(&mut self.reported) {
             if let Some(server) = self.arena.get_mut(key) {
                 (server.others, server.others_outcomes) = Default::default();
             }
@@ -491,13 +492,13 @@
         for (tag, load) in &heard.loads {
             if let Some((key, server)) = known(&self.by_tag, &mut self.arena, *tag) {
                 server.others = *load;
-                self.heard.push(key);
+                self.reported.push(key);
             }
         }
         for (tag, outcomes) in &heard.outcomes {
             if let Some((key, server)) = known(&self.by_tag, &mut self.arena, *tag) {
                 server.others_outcomes = *outcomes;
-                self.heard.push(key);
+                self.reported.push(key);
                 self.noted.insert(key);
             }
         }
--- a/src/gateway/servers/limits.rs
+++ b/src/gateway/servers/limits.rs
@@ -36,7 +36,7 @@
     /// Notes whether a server names a limit, and that others are to be told of it.
     pub(super) fn note_limit(&mut self, key: ServerKey, now: Instant) {
         let limit = &self.arena[key].condition.limit;
-        if limit.told(now).is_some() {
+        if limit.for_peers(now).is_some() {
             self.noted.insert(key);
         }
         match limit.rate() {
--- a/src/gateway/servers/remarks.rs
+++ b/src/gateway/servers/remarks.rs
@@ -12,7 +12,7 @@
     /// That the server leaves.
     pub leaves: bool,
     /// That it rests, or rests longer.
-    pub rests: bool,
+    pub backs_off: bool,
     /// A limit, its end, or another one.
     pub limit: bool,
 }
@@ -49,13 +49,13 @@
         };
         let condition = &mut server.condition;
         if let Some(left) = remarks.cold {
-            condition.cold.told(left, now);
+            condition.cold.reported(left, now);
         }
         let rests = remarks.backoff.is_some_and(|time| condition.extend_backoff(time, now));
         if rests {
             self.backing_off.insert(key);
         }
-        NewRemarks { leaves, rests, limit }
+        NewRemarks { leaves, backs_off: rests, limit }
     }
 
     /// Whether a server has asked this daemon for rest, and still rests.
--- a/src/gateway/slot.rs
+++ b/src/gateway/slot.rs
@@ -207,7 +207,7 @@
 
     /// Takes in what came from other daemons since the last time.
     pub(super) fn listen(&self, now: Instant) {
-        if let Some(heard) = self.hearing().and_then(|hearing| hearing.heard(now)) {
+        if let Some(heard) = self.hearing().and_then(|hearing| hearing.peer_stats(now)) {
             self.servers().set_others(&heard);
             self.rollouts().set_others(&heard.rollouts, now);
             self.quarantine().set_others(&heard.evidence, now);
@@ -240,7 +240,7 @@
             Some(engine) => Bound::of(self.aim(service, call), engine, admission_class),
             None => Bound::NONE,
         };
-        let terms = Terms { admission_class: admission_class, bound };
+        let terms = Terms { admission_class, bound };
         let draw = || match tried {
             [] => Draw::first(&call.route.name, &call.id),
             _ => Draw::Again,
@@ -321,9 +321,9 @@
         let admits = |key, server: &Server| among.pick.is_none_or(|pick| pick.admits(key, server));
         let may_take = |key, server: &Server| admits(key, server) && may_take(key, server);
         let mut servers = self.servers();
-        let room = self.limited_quota(&mut servers, &service.name, may_take, now);
-        let may_use =
-            room.is_some_and(|room| self.may_use(room, &service.name, terms.admission_class, now));
+        let quota = self.limited_quota(&mut servers, &service.name, may_take, now);
+        let may_use = quota
+            .is_some_and(|quota| self.may_use(quota, &service.name, terms.admission_class, now));
         let may_take = |key, server: &Server| may_take(key, server) && has_quota(server, may_use);
         let candidates = candidates(&servers, service, request.hall, may_take, now);
         // What is unseen lies at all servers, drawn or not.
@@ -332,8 +332,8 @@
         let need = &PlacementRequest { unseen: request.unseen * drawn, ..*request };
         let chosen = self.placing.choose(&candidates, need, now, &mut rand::rng());
         let Some(key) = chosen else {
-            let in_need = room.map(|room| self.no_quota(room, &service.name, call, now));
-            let why = in_need.unwrap_or("no_server".into());
+            let limited = quota.map(|quota| self.no_quota(quota, &service.name, call, now));
+            let why = limited.unwrap_or("no_server".into());
             return Err(self.after_backoff(why, &servers, service, call, now));
         };
         let there = servers.get(key).map(Server::load).unwrap_or_default();
--- a/src/gateway/sums.rs
+++ b/src/gateway/sums.rs
@@ -154,23 +154,23 @@
 
 impl Adder {
     /// Adds what was told.
-    pub(crate) fn add(&mut self, told: &DaemonStats) {
-        add(&mut self.loads, &told.loads);
-        add(&mut self.spent, &told.spent);
-        add(&mut self.outcomes, &told.outcomes);
-        for (request, evidence) in &told.evidence {
+    pub(crate) fn add(&mut self, stats: &DaemonStats) {
+        add(&mut self.loads, &stats.loads);
+        add(&mut self.spent, &stats.spent);
+        add(&mut self.outcomes, &stats.outcomes);
+        for (request, evidence) in &stats.evidence {
             self.evidence.entry(*request).or_default().merge(evidence);
         }
-        add(&mut self.rollouts.tallies, &told.tallies);
-        for (order, age) in &told.orders {
+        add(&mut self.rollouts.tallies, &stats.tallies);
+        for (order, age) in &stats.orders {
             let known = self.rollouts.ages.entry(*order).or_default();
             *known = (*known).max(*age);
         }
     }
 
     /// Adds one daemon's word; `entry` is where callers may be sent to it.
-    pub(crate) fn add_daemon(&mut self, name: Tag, told: &DaemonStats, entry: Option<SocketAddr>) {
-        self.add(told);
+    pub(crate) fn add_daemon(&mut self, name: Tag, stats: &DaemonStats, entry: Option<SocketAddr>) {
+        self.add(stats);
         self.members.push(name);
         self.daemons += 1;
         self.entries.extend(entry);
@@ -178,7 +178,7 @@
 
     /// Adds a part of the fleet, with one of its entries. Members are kept of whole halls only.
     pub(crate) fn add_sum(&mut self, sum: &Sum) {
-        self.add(&sum.told);
+        self.add(&sum.stats);
         self.members.extend(halls_of(sum));
         self.daemons += sum.daemons;
         self.entries.extend(sum.entries.first());
@@ -200,7 +200,7 @@
             members: self.members,
             daemons: self.daemons,
             entries: self.entries,
-            told: DaemonStats {
+            stats: DaemonStats {
                 loads: self.loads.into_iter().collect(),
                 spent: self.spent.into_iter().collect(),
                 outcomes: self.outcomes.into_iter().collect(),
--- a/src/gateway/view.rs
+++ b/src/gateway/view.rs
@@ -56,7 +56,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Own {
     /// What it has running and has spent.
-    pub told: DaemonStats,
+    pub stats: DaemonStats,
     /// Whether callers may be sent to it.
     pub ready: bool,
 }
@@ -156,8 +156,8 @@
         }
         let mut others = listing.daemons.clone();
         others.retain(|daemon| daemon.vm != self.own.vm);
-        let heard = division.unlisted.iter().filter_map(|addr| self.peers.get(addr));
-        others.extend(heard.map(|p| p.daemon.clone()));
+        let reachable = division.unlisted.iter().filter_map(|addr| self.peers.get(addr));
+        others.extend(reachable.map(|p| p.daemon.clone()));
         let is_silent = |addr| division.silent.binary_search(&addr).is_ok();
         self.layout = Layout::of(&self.own, &others, is_silent);
         self.divided = Some(division);
@@ -299,8 +299,9 @@
 
     /// All daemons that heartbeats are due to.
     pub fn partners(&self, now: Instant) -> Vec<SocketAddr> {
-        let heard = self.peers.keys().copied().filter(|addr| self.relation(*addr, now).is_some());
-        let all: HashSet<SocketAddr> = self.layout.partners().chain(heard).collect();
+        let reachable =
+            self.peers.keys().copied().filter(|addr| self.relation(*addr, now).is_some());
+        let all: HashSet<SocketAddr> = self.layout.partners().chain(reachable).collect();
         all.into_iter().collect()
     }
 
@@ -349,10 +350,10 @@
     /// Where callers may be sent in other cells and halls, as far as they are heard.
     pub fn far_entries(&self, now: Instant) -> Vec<SocketAddr> {
         let others = self.peers.values().filter(|p| p.cell != self.layout.own);
-        let heard = others.filter(|p| p.ready && self.is_reachable(p, now));
+        let reachable = others.filter(|p| p.ready && self.is_reachable(p, now));
         let told = self.other_cells(now).into_iter().chain(self.other_halls(now));
         let told = told.flat_map(|sum| sum.entries.iter().copied());
-        heard.map(|p| p.daemon.callers).chain(told).collect()
+        reachable.map(|p| p.daemon.callers).chain(told).collect()
     }
 
     /// A heartbeat to such a partner, with what this daemon knows of others; nothing yet of the store and
@@ -385,7 +386,7 @@
             cell: layout.own,
             others: if near { named.collect() } else { Vec::new() },
             sums,
-            stats: if near { own.told } else { DaemonStats::default() },
+            stats: if near { own.stats } else { DaemonStats::default() },
             observations: Observations::default(),
         }
     }
@@ -429,7 +430,7 @@
     /// What this daemon's cell told.
     fn cell_sum(&self, own: &Own, now: Instant) -> Sum {
         let mut adder = Adder::default();
-        adder.add_daemon(self.tag, &own.told, own.ready.then_some(self.own.callers));
+        adder.add_daemon(self.tag, &own.stats, own.ready.then_some(self.own.callers));
         for peer in self.near(now) {
             adder.add_daemon(peer.tag, &peer.stats, peer.ready.then_some(peer.daemon.callers));
         }
@@ -464,11 +465,11 @@
     }
 
     /// What the other daemons told of servers, and of requests under which servers ended.
-    pub fn heard(&self, now: Instant) -> PeerStats {
+    pub fn peer_stats(&self, now: Instant) -> PeerStats {
         let mut adder = Adder::default();
         self.near(now).for_each(|peer| adder.add(&peer.stats));
         for sum in self.distant(now) {
-            adder.add(&sum.told);
+            adder.add(&sum.stats);
         }
         let Adder { loads, outcomes, evidence, rollouts, .. } = adder;
         PeerStats { loads, outcomes, evidence, rollouts }
@@ -493,16 +494,16 @@
             near.others.push(peer.tag);
             add(&mut near.spent, &peer.stats.spent);
         }
-        let mut heard = near.others.len();
+        let mut reachable = near.others.len();
         for (service, own) in &near.spent {
             spent.insert(*service, *own);
         }
         for sum in self.distant(now) {
-            heard += sum.daemons as usize;
-            add(&mut spent, &sum.told.spent);
+            reachable += sum.daemons as usize;
+            add(&mut spent, &sum.stats.spent);
         }
         let lately = self.peers.values().filter(|p| since(p.last_seen, now) <= FORGOTTEN).count();
-        Others { daemons: listed.max(lately).max(heard), heard, spent, near }
+        Others { daemons: listed.max(lately).max(reachable), reachable, spent, near }
     }
 
     /// The share of all daemons that are of this hall and are heard through sums.
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -7,7 +7,7 @@
 use crate::member::{Members, Record};
 use crate::message::{self, Heartbeat, PlaceAsk, Reply, Request, Unreadable};
 use crate::metrics::Metrics;
-use crate::peer::{Handler, Held, NoAnswer, Peers};
+use crate::peer::{Handler, NoAnswer, PeerStream, Peers};
 use crate::time;
 use futures_util::future::BoxFuture;
 use rand::RngExt;
@@ -187,7 +187,11 @@
     }
 
     /// Asks the keeper of a queue for a place; the stream stays open while it is used.
-    pub async fn hold(self: &Arc<Self>, to: SocketAddr, ask: PlaceAsk) -> Result<Held, NoAnswer> {
+    pub async fn hold(
+        self: &Arc<Self>,
+        to: SocketAddr,
+        ask: PlaceAsk,
+    ) -> Result<PeerStream, NoAnswer> {
         let handler = self.handler();
         self.peers.hold(to, &Request::Place(ask), &handler).await
     }
@@ -209,23 +213,23 @@
 struct Answering(Arc<Gossip>);
 
 impl Handler for Answering {
-    fn told(&self, bytes: &[u8]) {
+    fn on_message(&self, bytes: &[u8]) {
         // One that can't be read is of a newer version or broken; the next heartbeat comes soon.
         if let Ok(heartbeat) = message::decode::<Heartbeat>(bytes) {
             self.heartbeat(heartbeat);
         }
     }
 
-    fn stream(&self, first: Vec<u8>, mut held: Held) -> BoxFuture<'_, ()> {
+    fn stream(&self, first: Vec<u8>, mut peer_stream: PeerStream) -> BoxFuture<'_, ()> {
         Box::pin(async move {
             let reply = match message::decode::<Request>(&first) {
-                Ok(Request::Place(ask)) => return self.place(ask, held).await,
+                Ok(Request::Place(ask)) => return self.place(ask, peer_stream).await,
                 Ok(request) => self.request(request).await,
                 Err(Unreadable::Version(_)) => Reply::NotUnderstood,
                 Err(Unreadable::Broken) => return,
             };
-            if held.send(&reply).await.is_ok() {
-                held.finish().await;
+            if peer_stream.send(&reply).await.is_ok() {
+                peer_stream.finish().await;
             }
         })
     }
@@ -267,9 +271,9 @@
         })
     }
 
-    fn place(&self, ask: PlaceAsk, held: Held) -> BoxFuture<'_, ()> {
+    fn place(&self, ask: PlaceAsk, peer_stream: PeerStream) -> BoxFuture<'_, ()> {
         match self.0.pools.get() {
-            Some(keeper) => keeper.keep(ask, held),
+            Some(keeper) => keeper.keep(ask, peer_stream),
             None => Box::pin(std::future::ready(())),
         }
     }
--- a/src/grant.rs
+++ b/src/grant.rs
@@ -7,7 +7,7 @@
 use crate::ask::{Ask, Shed};
 use crate::gossip::Gossip;
 use crate::message::{PlaceAsk, PlaceReply, PlaceUpdate};
-use crate::peer::{Held, NoAnswer};
+use crate::peer::{NoAnswer, PeerStream};
 use crate::pool::Pool;
 use crate::replica::Signal;
 use crate::slot::Slot;
@@ -27,7 +27,7 @@
 /// Keeps queues for other daemons.
 pub trait Keeper: Send + Sync {
     /// Waits for a place and holds it as long as the asker needs it.
-    fn keep(&self, ask: PlaceAsk, held: Held) -> BoxFuture<'static, ()>;
+    fn keep(&self, ask: PlaceAsk, peer_stream: PeerStream) -> BoxFuture<'static, ()>;
 }
 
 /// A place granted by another daemon; dropping it gives the place back.
@@ -135,13 +135,13 @@
         ask: ask.clone(),
         wait_ms: wait.as_millis() as u64,
     };
-    let Ok(mut held) = gossip.hold(keeper, request).await else {
+    let Ok(mut peer_stream) = gossip.hold(keeper, request).await else {
         return Asked::Alone;
     };
     loop {
-        match timeout(SILENCE, held.receive::<PlaceReply>()).await {
+        match timeout(SILENCE, peer_stream.receive::<PlaceReply>()).await {
             Ok(Ok(PlaceReply::Waiting)) => {}
-            Ok(Ok(PlaceReply::Granted(addr))) => return Asked::Granted(addr, granted(held)),
+            Ok(Ok(PlaceReply::Granted(addr))) => return Asked::Granted(addr, granted(peer_stream)),
             Ok(Ok(PlaceReply::Shed { retry_ms })) => return Asked::Shed(Shed { retry_ms }),
             Ok(Ok(PlaceReply::Signal(_)) | Err(NoAnswer)) | Err(_) => return Asked::Alone,
         }
@@ -149,7 +149,7 @@
 }
 
 /// Holds the place open in a task of its own until the grant is used up or dropped.
-fn granted(mut held: Held) -> Grant {
+fn granted(mut peer_stream: PeerStream) -> Grant {
     let (done, mut ended) = oneshot::channel();
     let (signal_tx, signal) = watch::channel(Signal::Run);
     tokio::spawn(async move {
@@ -157,12 +157,12 @@
             tokio::select! {
                 tokens = &mut ended => {
                     if let Ok(tokens) = tokens {
-                        let _ = held.send(&PlaceUpdate::Done { tokens }).await;
+                        let _ = peer_stream.send(&PlaceUpdate::Done { tokens }).await;
                     }
-                    held.finish().await;
+                    peer_stream.finish().await;
                     return;
                 }
-                reply = held.receive::<PlaceReply>() => match reply {
+                reply = peer_stream.receive::<PlaceReply>() => match reply {
                     Ok(PlaceReply::Signal(signal)) => {
                         signal_tx.send_replace(signal);
                     }
@@ -180,21 +180,21 @@
 }
 
 /// The keeper's side of one place.
-pub async fn keep(pool: Arc<Pool>, ask: PlaceAsk, mut held: Held) {
-    let Some(mut slot) = wait_for_place(&pool, ask, &mut held).await else {
+pub async fn keep(pool: Arc<Pool>, ask: PlaceAsk, mut peer_stream: PeerStream) {
+    let Some(mut slot) = wait_for_place(&pool, ask, &mut peer_stream).await else {
         return;
     };
-    if held.send(&PlaceReply::Granted(slot.addr())).await.is_err() {
+    if peer_stream.send(&PlaceReply::Granted(slot.addr())).await.is_err() {
         return;
     }
     loop {
         tokio::select! {
             signal = slot.signalled() => {
-                if held.send(&PlaceReply::Signal(signal)).await.is_err() {
+                if peer_stream.send(&PlaceReply::Signal(signal)).await.is_err() {
                     return;
                 }
             }
-            update = held.receive::<PlaceUpdate>() => match update {
+            update = peer_stream.receive::<PlaceUpdate>() => match update {
                 Ok(PlaceUpdate::Done { tokens }) => return slot.complete(tokens),
                 Err(NoAnswer) => return,
             },
@@ -202,7 +202,11 @@
     }
 }
 
-async fn wait_for_place(pool: &Arc<Pool>, ask: PlaceAsk, held: &mut Held) -> Option<Slot> {
+async fn wait_for_place(
+    pool: &Arc<Pool>,
+    ask: PlaceAsk,
+    peer_stream: &mut PeerStream,
+) -> Option<Slot> {
     let placing = pool.place_for_other(ask.ask, Duration::from_millis(ask.wait_ms));
     tokio::pin!(placing);
     loop {
@@ -210,14 +214,14 @@
             placed = &mut placing => match placed {
                 Ok(slot) => return Some(slot),
                 Err(shed) => {
-                    let _ = held.send(&PlaceReply::Shed { retry_ms: shed.retry_ms }).await;
-                    held.finish().await;
+                    let _ = peer_stream.send(&PlaceReply::Shed { retry_ms: shed.retry_ms }).await;
+                    peer_stream.finish().await;
                     return None;
                 }
             },
-            () = sleep(ALIVE_EVERY) => held.send(&PlaceReply::Waiting).await.ok()?,
+            () = sleep(ALIVE_EVERY) => peer_stream.send(&PlaceReply::Waiting).await.ok()?,
             // The asker gave up.
-            _ = held.receive::<PlaceUpdate>() => return None,
+            _ = peer_stream.receive::<PlaceUpdate>() => return None,
         }
     }
 }
--- a/src/headroom.rs
+++ b/src/headroom.rs
@@ -37,7 +37,7 @@
     /// Cost of placing a newcomer, or `None` where it does not fit.
     fn cost(&self, replica: &Replica, newcomer: &Newcomer) -> Option<f32> {
         let capacity = replica.report.capacity as f32;
-        if replica.heard.is_none() || capacity <= 0.0 {
+        if replica.last_report.is_none() || capacity <= 0.0 {
             return None;
         }
         let peak = self.peak(replica, newcomer);
@@ -130,7 +130,7 @@
     ) -> Option<StreamKey> {
         let r = &view.replicas[replica];
         let full = r.peaks[1] > r.report.capacity as f32 * PAUSE_AT;
-        if !self.spec.pause || !full || r.heard.is_none() || streams.len() < 2 {
+        if !self.spec.pause || !full || r.last_report.is_none() || streams.len() < 2 {
             return None;
         }
         // Once each, so that nobody is paused again and again.
--- a/src/member.rs
+++ b/src/member.rs
@@ -51,7 +51,7 @@
 
 /// How a daemon seems.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Liveness {
     /// Its heartbeats come.
     Alive,
     /// They have not come for a while.
@@ -142,27 +142,27 @@
     }
 
     /// How a daemon seems.
-    pub fn standing(&self, vm: &str, now: Instant) -> Option<Standing> {
+    pub fn liveness(&self, vm: &str, now: Instant) -> Option<Liveness> {
         if vm == self.own.vm {
-            return Some(Standing::Alive);
+            return Some(Liveness::Alive);
         }
         self.others.get(vm).map(|m| self.seems(m, now))
     }
 
-    fn seems(&self, member: &Member, now: Instant) -> Standing {
+    fn seems(&self, member: &Member, now: Instant) -> Liveness {
         let silent = now.saturating_duration_since(member.last_seen);
         if silent > self.beat * DEAD_BEATS {
-            Standing::Dead
+            Liveness::Dead
         } else if silent > self.beat * SUSPECT_BEATS {
-            Standing::Suspected
+            Liveness::Suspected
         } else {
-            Standing::Alive
+            Liveness::Alive
         }
     }
 
     /// All daemons known to be alive, this one first.
     pub fn alive(&self, now: Instant) -> Vec<&Record> {
-        let others = self.others.values().filter(|m| self.seems(m, now) == Standing::Alive);
+        let others = self.others.values().filter(|m| self.seems(m, now) == Liveness::Alive);
         std::iter::once(&self.own).chain(others.map(|m| &m.record)).collect()
     }
 
@@ -193,7 +193,7 @@
 
     /// Whom to send this beat to: two of the hall, and from a gateway one of another hall.
     pub fn targets(&self, rng: &mut impl rand::Rng, now: Instant) -> Vec<SocketAddr> {
-        let reachable = self.others.values().filter(|m| self.seems(m, now) != Standing::Dead);
+        let reachable = self.others.values().filter(|m| self.seems(m, now) != Liveness::Dead);
         let (near, far): (Vec<&Member>, Vec<&Member>) =
             reachable.partition(|m| m.record.hall == self.own.hall);
         let mut targets: Vec<SocketAddr> =
@@ -208,7 +208,7 @@
             && let Some(member) = self
                 .others
                 .values()
-                .filter(|m| self.seems(m, now) == Standing::Dead)
+                .filter(|m| self.seems(m, now) == Liveness::Dead)
                 .collect::<Vec<_>>()
                 .choose(rng)
         {
@@ -219,7 +219,7 @@
 
     /// The records that ride on one heartbeat: this daemon's own, then some at random.
     pub fn rumors(&self, rng: &mut impl rand::Rng, now: Instant) -> Vec<Record> {
-        let fresh = self.others.values().filter(|m| self.seems(m, now) == Standing::Alive);
+        let fresh = self.others.values().filter(|m| self.seems(m, now) == Liveness::Alive);
         let mut others: Vec<&Record> = fresh.map(|m| &m.record).collect();
         others.shuffle(rng);
         std::iter::once(&self.own).chain(others.into_iter().take(RUMORS)).cloned().collect()
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -22,7 +22,7 @@
 /// Largest request or answer, in bytes.
 const MOST_BYTES: usize = 64 << 20;
 /// Largest message that is told unasked, in bytes: one with the loads of some 20,000 servers.
-const MOST_TOLD: usize = 512 << 10;
+const MAX_MESSAGE_BYTES: usize = 512 << 10;
 /// Such messages that one peer may have on their way, each on its stream: one heartbeat follows the other.
 const MAX_CONCURRENT_MESSAGES: u32 = 4;
 const LENGTH_BYTES: usize = 4;
@@ -56,9 +56,9 @@
 /// What a daemon does with what its peers send.
 pub trait Handler: Send + Sync + 'static {
     /// A message came that was told unasked.
-    fn told(&self, bytes: &[u8]);
+    fn on_message(&self, bytes: &[u8]);
     /// A stream was opened; `first` is its first message.
-    fn stream(&self, first: Vec<u8>, held: Held) -> BoxFuture<'_, ()>;
+    fn stream(&self, first: Vec<u8>, held: PeerStream) -> BoxFuture<'_, ()>;
 }
 
 /// A peer that gave no answer.
@@ -206,14 +206,18 @@
         to: SocketAddr,
         request: &impl Serialize,
         handler: &Arc<dyn Handler>,
-    ) -> Result<Held, NoAnswer> {
+    ) -> Result<PeerStream, NoAnswer> {
         let link = self.link(to, handler).await.ok_or(NoAnswer)?;
         timeout(CONNECT_LIMIT, self.open(&link, request)).await.unwrap_or(Err(NoAnswer))
     }
 
-    async fn open(&self, link: &Connection, request: &impl Serialize) -> Result<Held, NoAnswer> {
+    async fn open(
+        &self,
+        link: &Connection,
+        request: &impl Serialize,
+    ) -> Result<PeerStream, NoAnswer> {
         let (send, recv) = link.open_bi().await.map_err(drop_reason)?;
-        let mut held = Held { send, recv, traffic: self.traffic.clone() };
+        let mut held = PeerStream { send, recv, traffic: self.traffic.clone() };
         held.send(request).await?;
         Ok(held)
     }
@@ -298,14 +302,14 @@
             tokio::select! {
                 datagram = link.read_datagram() => {
                     let Ok(bytes) = datagram else { return };
-                    self.heard(from, &bytes, &*handler);
+                    self.receive(from, &bytes, &*handler);
                 }
                 stream = link.accept_uni() => {
                     let Ok(mut recv) = stream else { return };
                     let (peers, handler) = (self.clone(), handler.clone());
                     tokio::spawn(async move {
-                        match recv.read_to_end(MOST_TOLD).await {
-                            Ok(bytes) => peers.heard(from, &bytes, &*handler),
+                        match recv.read_to_end(MAX_MESSAGE_BYTES).await {
+                            Ok(bytes) => peers.receive(from, &bytes, &*handler),
                             Err(e) => debug!(peer = from.to_string().as_str(), why = e.to_string().as_str(); "message not received"),
                         }
                     });
@@ -321,10 +325,10 @@
     }
 
     /// A message came, as a datagram or on a stream of its own.
-    fn heard(&self, from: SocketAddr, bytes: &[u8], handler: &dyn Handler) {
+    fn receive(&self, from: SocketAddr, bytes: &[u8], handler: &dyn Handler) {
         self.traffic.count("in", bytes.len());
         if !self.is_cut(from) {
-            handler.told(bytes);
+            handler.on_message(bytes);
         }
     }
 
@@ -334,7 +338,7 @@
         recv: RecvStream,
         handler: Arc<dyn Handler>,
     ) {
-        let mut held = Held { send, recv, traffic: self.traffic.clone() };
+        let mut held = PeerStream { send, recv, traffic: self.traffic.clone() };
         if let Ok(first) = held.receive_bytes().await {
             handler.stream(first, held).await;
         }
@@ -349,13 +353,13 @@
 }
 
 /// A stream to a peer that carries messages both ways, each behind its length.
-pub struct Held {
+pub struct PeerStream {
     send: SendStream,
     recv: RecvStream,
     traffic: Traffic,
 }
 
-impl Held {
+impl PeerStream {
     /// Sends a message.
     pub async fn send(&mut self, message: &impl Serialize) -> Result<(), NoAnswer> {
         let body = message::encode(message);
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -145,7 +145,7 @@
     /// Mean gap between tokens seen here, in milliseconds.
     pub gap_ms: f32,
     /// When the last report came, if one ever has.
-    pub heard: Option<Instant>,
+    pub last_report: Option<Instant>,
     prefixes: VecDeque<u64>,
     changes: VecDeque<Delta>,
     /// Recent failures and ejection.
@@ -177,7 +177,7 @@
             gap_ms: FIRST_GAP_MS,
             readers: 0,
             wholes: 0,
-            heard: None,
+            last_report: None,
             prefixes: VecDeque::new(),
             changes: VecDeque::new(),
             health: Health::default(),
@@ -186,9 +186,9 @@
 
     /// Takes in a load report received at `now`.
     pub fn take_report(&mut self, report: LoadReport, now: Instant) {
-        let known = self.heard.is_some();
+        let known = self.last_report.is_some();
         let measured = now.checked_sub(Duration::from_millis(report.age_ms)).unwrap_or(now);
-        self.heard = Some(now);
+        self.last_report = Some(now);
         self.leaving = report.leaving;
         if known && measured < self.reported {
             return;
@@ -323,6 +323,6 @@
     /// Whether it was heard of within `stale`. A daemon that was frozen knows nothing fresh, not
     /// even who is leaving.
     pub fn fresh(&self, stale: Duration, now: Instant) -> bool {
-        self.heard.is_some_and(|at| now.saturating_duration_since(at) <= stale)
+        self.last_report.is_some_and(|at| now.saturating_duration_since(at) <= stale)
     }
 }
--- a/src/standin/kv.rs
+++ b/src/standin/kv.rs
@@ -36,13 +36,13 @@
 #[derive(Default)]
 struct Store {
     revision: u64,
-    entries: BTreeMap<String, Held>,
+    entries: BTreeMap<String, StoredValue>,
     leases: HashMap<u64, Lease>,
     last_lease: u64,
     log: Vec<Change>,
 }
 
-struct Held {
+struct StoredValue {
     value: Vec<u8>,
     revision: u64,
     lease: Option<LeaseId>,
@@ -164,7 +164,7 @@
         self.log.push(Change { key: key.into(), value: value.clone(), revision });
         match value {
             Some(value) => {
-                self.entries.insert(key.into(), Held { value, revision, lease });
+                self.entries.insert(key.into(), StoredValue { value, revision, lease });
             }
             None => {
                 self.entries.remove(key);
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -238,7 +238,7 @@
     }
 
     fn runs(&self, at: Duration) -> u32 {
-        let heard = self.view.heard(self.start + at);
+        let heard = self.view.peer_stats(self.start + at);
         heard.loads.get(&Tag::of("server")).map_or(0, |load| load.runs)
     }
 }
@@ -252,7 +252,7 @@
         members: members.iter().map(|d| Tag::of(&d.vm)).collect(),
         daemons,
         entries: members.iter().map(|d| d.callers).collect(),
-        told: told(daemons),
+        stats: told(daemons),
     }
 }
 
@@ -287,7 +287,7 @@
     watcher.view.note(&heartbeat, watcher.start + ms(4));
     assert_eq!(watcher.runs(ms(4)), 2 + 2 + 5 + 5);
     let spent = watcher.view.spent(59, watcher.start + ms(4));
-    assert_eq!((spent.daemons, spent.heard), (59, 4 + 5 + 5));
+    assert_eq!((spent.daemons, spent.reachable), (59, 4 + 5 + 5));
     assert_eq!(spent.spent[&Tag::of("service")], Spent { requests: 140, repeats: 28 });
 }
 
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -108,7 +108,7 @@
     pub fn start(&mut self, daemon: Daemon) -> Node {
         self.boots += 1;
         let view = View::new(daemon.clone(), Clock::new(self.boots, self.now));
-        let own = Own { told: told(&daemon.vm, 1), ready: true };
+        let own = Own { stats: told(&daemon.vm, 1), ready: true };
         let partners = BTreeMap::new();
         let (signs, heard) = (Observations::default(), Vec::new());
         Node { daemon, view, own, alive: true, signs, heard, divided: None, partners, sent: 0 }
@@ -206,7 +206,7 @@
     /// Sets what each living daemon has running at a server of its own name, and at one that all use.
     pub fn set_loads(&mut self, runs: u32) {
         for node in &mut self.nodes {
-            node.own.told = told(&node.daemon.vm, runs);
+            node.own.stats = told(&node.daemon.vm, runs);
         }
     }
 
@@ -215,7 +215,7 @@
     pub fn unheard(&self, same_hall: bool, runs: u32) -> (usize, usize) {
         let (mut pairs, mut wrong) = (0, 0);
         for node in self.nodes.iter().filter(|n| n.alive) {
-            let heard = node.view.heard(self.now);
+            let heard = node.view.peer_stats(self.now);
             for other in self.nodes.iter().filter(|o| o.alive && o.daemon.vm != node.daemon.vm) {
                 if (other.daemon.hall == node.daemon.hall) != same_hall {
                     continue;
@@ -231,7 +231,7 @@
     /// The most that any daemon counts at the server which all use, beside its own.
     pub fn most_counted(&self) -> u32 {
         let counted = self.nodes.iter().filter(|n| n.alive).map(|node| {
-            let heard = node.view.heard(self.now);
+            let heard = node.view.peer_stats(self.now);
             heard.loads.get(&Tag::of("all")).map_or(0, |load| load.runs)
         });
         counted.max().unwrap_or(0)
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -77,7 +77,7 @@
     let all = halls * in_hall;
     for node in &fleet.nodes {
         let spent = node.view.spent(all - 1, fleet.now);
-        assert_eq!((spent.daemons, spent.heard), (all - 1, all - 1));
+        assert_eq!((spent.daemons, spent.reachable), (all - 1, all - 1));
         let repeats = spent.spent[&Tag::of("service")].repeats;
         assert_eq!(repeats as usize, all - 1);
     }
@@ -96,12 +96,12 @@
         for witness in witnesses {
             let ended = [(Tag::number(witness as u64), 2)].into();
             let evidence = Evidence { ended, survived: false };
-            fleet.nodes[witness].own.told.evidence.push((request, evidence));
+            fleet.nodes[witness].own.stats.evidence.push((request, evidence));
         }
         fleet.run(EVERYWHERE);
         for (i, node) in fleet.nodes.iter().enumerate() {
             let own = usize::from(witnesses.contains(&i));
-            let heard = node.view.heard(fleet.now).evidence;
+            let heard = node.view.peer_stats(fleet.now).evidence;
             let ended = heard.get(&request).map_or(0, |evidence| evidence.ended.len());
             assert_eq!(ended + own, 3, "{}: {halls} halls of {in_hall}", node.daemon.vm);
         }
@@ -278,9 +278,9 @@
     fleet.run(ms(6_000));
     let inside = &fleet.nodes[0];
     let listed = fleet.nodes.len() - 1;
-    assert_eq!(inside.view.spent(listed, fleet.now).heard, in_hall - 1);
+    assert_eq!(inside.view.spent(listed, fleet.now).reachable, in_hall - 1);
     let outside = fleet.nodes.last().unwrap();
-    assert_eq!(outside.view.spent(listed, fleet.now).heard, listed - in_hall);
+    assert_eq!(outside.view.spent(listed, fleet.now).reachable, listed - in_hall);
     fleet.cut.clear();
     fleet.run(TWO_SUCCESSIONS + EVERYWHERE);
     fleet.set_loads(2);
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -128,7 +128,7 @@
         members: vec![tag(44), tag(45)],
         daemons: 46,
         entries: vec![addr(8741)],
-        told: told(),
+        stats: told(),
     }
 }
 
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -165,7 +165,7 @@
     let mut total = 0;
     for _ in 0..daemons {
         let mut budget = RepeatBudget::new(BOUNDS, now);
-        let others = Others { daemons: daemons - 1, heard, ..Others::default() };
+        let others = Others { daemons: daemons - 1, reachable: heard, ..Others::default() };
         budget.set_others(others);
         total += spend(&mut budget, &service, Repeat::Continuation, now);
     }
@@ -185,7 +185,7 @@
     let mut budget = RepeatBudget::new(BOUNDS, now);
     let spent = [(Tag::of("app"), Spent { requests: 0, repeats: 34 })];
     let spent = spent.into();
-    budget.set_others(Others { daemons: 1, heard: 1, spent, ..Others::default() });
+    budget.set_others(Others { daemons: 1, reachable: 1, spent, ..Others::default() });
     let own = spend(&mut budget, &service, Repeat::Continuation, now);
     assert!(own + 34 <= 50 && own <= 1, "{own}");
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -244,12 +244,12 @@
         let spent = [(Tag::of(&service), Spent { requests: told, repeats: 0 })].into();
         own.set_others(Others {
             daemons: requests.len() - 1,
-            heard: heard.len(),
+            reachable: heard.len(),
             spent,
             ..Others::default()
         });
         // Once what others have told is as old as what is counted here.
-        own.part(&service, now + ms(1_000))
+        own.request_fraction(&service, now + ms(1_000))
     };
     let others = |i: usize, among: &[usize]| -> Vec<usize> {
         among.iter().copied().filter(|j| *j != i).collect()
--- a/tests/limits/play.rs
+++ b/tests/limits/play.rs
@@ -199,7 +199,7 @@
             Way::Equal => (1.0 / listed as f64, budget.near().count() as f64 / listed as f64),
             _ => {
                 let service = Play::service();
-                (budget.part(&service, now), budget.cell_fraction(&service, now))
+                (budget.request_fraction(&service, now), budget.cell_fraction(&service, now))
             }
         };
         let rank = Rank { before: i, daemons: listed };
@@ -261,7 +261,7 @@
         let counted = Spent { requests: sent, repeats: 0 };
         spent.push((Tag::of("sent"), counted));
         let node = &mut self.fleet.nodes[i];
-        node.own.told = DaemonStats { spent, ..DaemonStats::default() };
+        node.own.stats = DaemonStats { spent, ..DaemonStats::default() };
         node.signs = known.servers.observations(now);
     }
 
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use tidestair::peer::{Handler, Held, LinkLimits, Peers, Traffic};
+use tidestair::peer::{Handler, LinkLimits, PeerStream, Peers, Traffic};
 use tidestair::tls::Identity;
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, timeout};
@@ -23,11 +23,11 @@
 struct Counting(AtomicUsize);
 
 impl Handler for Counting {
-    fn told(&self, _: &[u8]) {
+    fn on_message(&self, _: &[u8]) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
-    fn stream(&self, _: Vec<u8>, _: Held) -> BoxFuture<'_, ()> {
+    fn stream(&self, _: Vec<u8>, _: PeerStream) -> BoxFuture<'_, ()> {
         Box::pin(async {})
     }
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 use tidestair::forecast::{Forecasts, LengthKey};
 use tidestair::health::{Health, RetryBudget};
-use tidestair::member::{Members, Record, Standing};
+use tidestair::member::{Liveness, Members, Record};
 use tidestair::queue::{Pushed, Queue, Rank};
 
 fn key(workspace: &str) -> LengthKey {
@@ -124,15 +124,15 @@
     let now = Instant::now();
     let mut members = Members::new(record("me", "h", true), BEAT, now);
     members.merge(record("other", "h", true), now);
-    assert_eq!(members.standing("other", now + BEAT * 5), Some(Standing::Alive));
-    assert_eq!(members.standing("other", now + BEAT * 10), Some(Standing::Suspected));
+    assert_eq!(members.liveness("other", now + BEAT * 5), Some(Liveness::Alive));
+    assert_eq!(members.liveness("other", now + BEAT * 10), Some(Liveness::Suspected));
     let late = now + BEAT * 30;
     assert!(!members.merge(record("other", "h", true), late), "the same beat again");
-    assert_eq!(members.standing("other", late), Some(Standing::Dead));
+    assert_eq!(members.liveness("other", late), Some(Liveness::Dead));
     assert!(members.merge(Record { incarnation: 2, beat: 0, ..record("other", "h", true) }, late));
     assert_eq!(
-        members.standing("other", late),
-        Some(Standing::Alive),
+        members.liveness("other", late),
+        Some(Liveness::Alive),
         "a restart is not the old process"
     );
 }
@@ -146,7 +146,7 @@
     assert_eq!(members.entries(now).len(), 1, "only this one");
     let woken = now + Duration::from_secs(60);
     members.tick(woken);
-    assert_eq!(members.standing("other", woken), Some(Standing::Alive));
+    assert_eq!(members.liveness("other", woken), Some(Liveness::Alive));
 }
 
 #[test]
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -36,7 +36,7 @@
 
     /// Each daemon hears the sum of what the others tell.
     fn tell(&mut self) {
-        let told: Vec<_> = self.daemons.iter_mut().map(|d| d.told(self.now)).collect();
+        let told: Vec<_> = self.daemons.iter_mut().map(|d| d.for_peers(self.now)).collect();
         for (i, daemon) in self.daemons.iter_mut().enumerate() {
             let mut sums: HashMap<Fingerprint, Evidence> = HashMap::new();
             let others = told.iter().enumerate().filter(|(j, _)| *j != i);
@@ -328,7 +328,7 @@
     }
     // The oldest of those that are remembered is not forgotten by what is added to it.
     quarantine.ended(request(4_744), server(9_000), Run::Unseen, now);
-    let told = quarantine.told(now);
+    let told = quarantine.for_peers(now);
     assert_eq!(told.len(), 32);
     assert_eq!(told[0].1.ended.len(), 2, "those under which most servers ended go first");
 }
--- a/tests/remarks.rs
+++ b/tests/remarks.rs
@@ -88,9 +88,9 @@
     let (mut servers, start) = (Servers::default(), Instant::now());
     let key = idle_server(&mut servers);
     let at = |seconds| start + Duration::from_secs(seconds);
-    assert!(servers.hear(key, &rests(5), at(0), at(0)).rests);
+    assert!(servers.hear(key, &rests(5), at(0), at(0)).backs_off);
     assert!(
-        !servers.hear(key, &rests(1), at(0), at(1)).rests,
+        !servers.hear(key, &rests(1), at(0), at(1)).backs_off,
         "an older answer, or a shorter rest"
     );
     // It served a request that was under way.
@@ -98,7 +98,7 @@
     servers.hear(key, &free, at(0), at(2));
     assert!(servers.is_backing_off(key, at(4)));
     assert!(!servers.is_backing_off(key, at(5)));
-    assert!(servers.hear(key, &rests(1), at(6), at(6)).rests);
+    assert!(servers.hear(key, &rests(1), at(6), at(6)).backs_off);
     assert!(servers.is_backing_off(key, at(6)) && !servers.is_backing_off(key, at(7)));
 }
 
@@ -107,7 +107,7 @@
     let (mut servers, now) = (Servers::default(), Instant::now());
     let key = idle_server(&mut servers);
     let endless = Remarks { backoff: Some(Duration::MAX), ..Remarks::default() };
-    assert!(!servers.hear(key, &endless, now, now).rests);
+    assert!(!servers.hear(key, &endless, now, now).backs_off);
     assert!(!servers.is_backing_off(key, now));
 }
 
--- a/tests/rollouts.rs
+++ b/tests/rollouts.rs
@@ -101,7 +101,7 @@
 fn add_up(daemons: &[Rollouts], own: usize, now: Instant) -> Reports {
     let mut heard = Reports::default();
     for (_, daemon) in daemons.iter().enumerate().filter(|(n, _)| *n != own) {
-        let told = daemon.told(now);
+        let told = daemon.for_peers(now);
         for (stratum, tally) in told.tallies {
             *heard.tallies.entry(stratum).or_default() += tally;
         }
@@ -226,7 +226,8 @@
 
 /// Failures at the candidate that a daemon has counted.
 fn bad_of(daemon: &Rollouts, now: Instant) -> usize {
-    let candidate = daemon.told(now).tallies.into_iter().filter(|(s, _)| s.arm() == Arm::Candidate);
+    let candidate =
+        daemon.for_peers(now).tallies.into_iter().filter(|(s, _)| s.arm() == Arm::Candidate);
     candidate.map(|(_, tally)| tally.failed as usize).sum()
 }
 
