--- a/src/calls.rs
+++ b/src/calls.rs
@@ -118,7 +118,7 @@
     let asked = time::now();
     match gossip.claim(claim).await {
         Claimed::Yours => {}
-        Claimed::Settled(kept) => return replay_answer(kept),
+        Claimed::Settled(stored) => return replay_answer(stored),
         Claimed::Taken => return Err(Failure::unknown(taken())),
         Claimed::Mismatch => return Err(Failure::not_run(proof, mismatch())),
         Claimed::Unavailable => return Err(unclaimed(proof, key.first, no_platform())),
@@ -130,7 +130,7 @@
     }
     let answered = call(wire, backends, once).await;
     match &answered {
-        Ok(answer) => gossip.settle(claim, Some(kept(answer))).await,
+        Ok(answer) => gossip.settle(claim, Some(stored_answer(answer))).await,
         Err(Failure::NotRun { .. }) => gossip.settle(claim, None).await,
         // It may have run: the claim stands without an outcome.
         Err(_) => {}
@@ -148,7 +148,7 @@
     Failure::unknown(Reason { message, ..reason })
 }
 
-fn kept(answer: &ServiceAnswer) -> StoredAnswer {
+fn stored_answer(answer: &ServiceAnswer) -> StoredAnswer {
     let omitted = answer.body.len() > MAX_STORED_ANSWER_BYTES;
     let body = if omitted { Vec::new() } else { answer.body.to_vec() };
     StoredAnswer { status: answer.status.as_u16(), body, omitted }
@@ -195,14 +195,14 @@
     }
 }
 
-fn replay_answer(kept: StoredAnswer) -> Result<ServiceAnswer, Failure> {
-    if kept.omitted {
+fn replay_answer(stored: StoredAnswer) -> Result<ServiceAnswer, Failure> {
+    if stored.omitted {
         let message =
             "the call ran, and its answer was too large to keep; ask the service for its result";
         return Err(Failure::unknown(Reason::new(409, "answer_not_kept", message)));
     }
-    let status = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
-    Ok(ServiceAnswer { status, kind: Some("application/json".into()), body: kept.body.into() })
+    let status = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
+    Ok(ServiceAnswer { status, kind: Some("application/json".into()), body: stored.body.into() })
 }
 
 fn claim_key(key: &OnceKey<'_>) -> ClaimKey {
--- a/src/gateway/condition.rs
+++ b/src/gateway/condition.rs
@@ -45,9 +45,9 @@
 impl Condition {
     /// It leaves. Says whether that is new.
     pub(super) fn leaves(&mut self, now: Instant) -> bool {
-        let is_news = self.leaving.is_none();
+        let is_new = self.leaving.is_none();
         self.leaving.get_or_insert(now);
-        is_news
+        is_new
     }
 
     /// It wants nothing for so long, counted from its answer. A rest that ends later still holds: an answer may
@@ -56,7 +56,7 @@
         let Some(until) = now.checked_add(time) else {
             return false;
         };
-        let is_longer = until > self.backoff.map_or(now, |rest| rest.until);
+        let is_longer = until > self.backoff.map_or(now, |backoff| backoff.until);
         if is_longer {
             self.backoff = Some(Backoff { asked: now, until });
         }
@@ -75,6 +75,6 @@
 
     /// Its rest, while it lasts.
     pub fn backoff(&self, now: Instant) -> Option<Backoff> {
-        self.backoff.filter(|rest| now < rest.until)
+        self.backoff.filter(|backoff| now < backoff.until)
     }
 }
--- a/src/gateway/core.rs
+++ b/src/gateway/core.rs
@@ -108,11 +108,11 @@
     /// Counts what other daemons should hear at once.
     urgent_changes: watch::Sender<u64>,
     /// Counts changes of this daemon's copy of the store.
-    copy_news: watch::Sender<u64>,
+    copy_changes: watch::Sender<u64>,
     /// How often the store has come back from an older copy of itself, as far as known.
     era: watch::Sender<u64>,
     /// Counts changes of what this daemon has running.
-    load_news: watch::Sender<u64>,
+    load_changes: watch::Sender<u64>,
     /// Tells that work went to a server.
     pub(super) work: Notify,
     /// Tells that a request may be kept back from now on.
@@ -152,9 +152,9 @@
             late: Mutex::new(0.0),
             ends: Mutex::default(),
             urgent_changes: watch::Sender::new(0),
-            copy_news: watch::Sender::new(0),
+            copy_changes: watch::Sender::new(0),
             era: watch::Sender::new(0),
-            load_news: watch::Sender::new(0),
+            load_changes: watch::Sender::new(0),
             work: Notify::new(),
             quarantine_changed: Notify::new(),
             turns: Mutex::default(),
@@ -229,13 +229,13 @@
     /// What this daemon has running has changed.
     pub(super) fn tell_load(&self, load: Load) {
         if load.tokens >= REPORTED_TOKENS {
-            self.load_news.send_modify(|count| *count += 1);
+            self.load_changes.send_modify(|count| *count += 1);
         }
     }
 
     /// Something changed in this daemon's copy of the store.
     pub(super) fn tell_copy(&self) {
-        self.copy_news.send_modify(|count| *count += 1);
+        self.copy_changes.send_modify(|count| *count += 1);
     }
 
     /// The store has come back from an older copy of itself so often.
@@ -251,7 +251,7 @@
 
     /// Tells of changes of this daemon's copy of the store.
     pub fn copy_changes(&self) -> watch::Receiver<u64> {
-        self.copy_news.subscribe()
+        self.copy_changes.subscribe()
     }
 
     /// Time between two requests at one server of the busiest service, as far as known.
@@ -267,7 +267,7 @@
 
     /// Tells of changes of what this daemon has running that others should hear soon.
     pub fn load_changes(&self) -> watch::Receiver<u64> {
-        self.load_news.subscribe()
+        self.load_changes.subscribe()
     }
 
     /// Tells of what other daemons should hear at once.
@@ -373,7 +373,7 @@
     pub(crate) fn judge(&self, server: ServerKey, failed: bool) {
         self.servers().judge(server, failed, time::now());
         if failed {
-            self.load_news.send_modify(|count| *count += 1);
+            self.load_changes.send_modify(|count| *count += 1);
         }
     }
 
--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -24,7 +24,7 @@
 /// Splits a stream into events.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    rest: BytesMut,
+    buffer: BytesMut,
     /// Bytes of `rest` that were searched and hold no end of an event.
     searched: usize,
 }
@@ -32,10 +32,10 @@
 impl Splitter {
     /// Takes in the next bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), TooLong> {
-        if self.rest.len() + bytes.len() > MOST_BYTES {
+        if self.buffer.len() + bytes.len() > MOST_BYTES {
             return Err(TooLong);
         }
-        self.rest.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
         Ok(())
     }
 
@@ -43,22 +43,22 @@
     pub fn take(&mut self) -> Option<Event> {
         let Some(end) = self.end() else {
             // The last three bytes may be the start of a blank line.
-            self.searched = self.rest.len().saturating_sub(3);
+            self.searched = self.buffer.len().saturating_sub(3);
             return None;
         };
         self.searched = 0;
-        let bytes = self.rest.split_to(end).freeze();
+        let bytes = self.buffer.split_to(end).freeze();
         Some(Event { id: id(&bytes), bytes })
     }
 
     /// Whether the stream stands inside an event.
     pub fn is_inside(&self) -> bool {
-        !self.rest.is_empty()
+        !self.buffer.is_empty()
     }
 
     fn end(&self) -> Option<usize> {
         let from = self.searched;
-        let bytes = &self.rest[from..];
+        let bytes = &self.buffer[from..];
         for (i, byte) in bytes.iter().enumerate() {
             if *byte != b'\n' {
                 continue;
--- a/src/gateway/limit.rs
+++ b/src/gateway/limit.rs
@@ -112,7 +112,7 @@
 /// How many daemons of a cell hold room where the server bears so many requests at once, and this daemon's part.
 /// Where a part of each is less than a request, as many hold it together as it has whole ones, and the others ask
 /// them; where all of it together is less, each has its own part, and its room lapses.
-fn held(share: Share, at_once: f64) -> (usize, f64) {
+fn holders_and_fraction(share: Share, at_once: f64) -> (usize, f64) {
     let cell = share.cell;
     let holders = (cell.fraction * at_once) as usize;
     match holders {
@@ -157,7 +157,7 @@
     pub fn settle(&mut self, share: Share, now: Instant) {
         let since = self.at.replace(now).unwrap_or(now);
         let at_once = self.pace() * AT_ONCE.as_secs_f64() + SPARE;
-        let (holders, fraction) = held(share, at_once);
+        let (holders, fraction) = holders_and_fraction(share, at_once);
         self.holders = holders;
         let pace = self.pace() * fraction;
         let grown = self.quota.unwrap_or(share.phase)
--- a/src/gateway/mirror/enforce.rs
+++ b/src/gateway/mirror/enforce.rs
@@ -147,14 +147,14 @@
         }
     }
 
-    fn take_quarantine(&self, request: &str, key_state: bool, now: Instant) {
+    fn take_quarantine(&self, request: &str, quarantined: bool, now: Instant) {
         let Some(fingerprint) = Fingerprint::parse(request) else {
             warn!(key = request; "no fingerprint of a request: the key keeps nothing back");
             return;
         };
-        info!(request = request, held = key_state; "request that ends servers");
+        info!(request = request, held = quarantined; "request that ends servers");
         let mut quarantine = self.gateway.quarantine();
-        match key_state {
+        match quarantined {
             true => quarantine.is_stored(fingerprint, now),
             false => quarantine.is_released(fingerprint, now),
         }
--- a/src/gateway/rollout/rollouts.rs
+++ b/src/gateway/rollout/rollouts.rs
@@ -52,11 +52,11 @@
         if known.is_some_and(|known| known.at >= position) {
             return false;
         }
-        let is_news = known.is_none_or(|known| known.record != record);
+        let is_new = known.is_none_or(|known| known.record != record);
         let recorded = Recorded { record, at: position, stored: true };
         self.records.insert(service.into(), recorded);
         self.apply_record(service, now);
-        is_news
+        is_new
     }
 
     /// The store has lost the record of a roll-out, which is to be written again; it has an older one there, or none
--- a/src/gateway/servers/limits.rs
+++ b/src/gateway/servers/limits.rs
@@ -24,13 +24,13 @@
         let Some(server) = self.arena.get_mut(key) else {
             return false;
         };
-        let is_news = match remark {
+        let is_new = match remark {
             LimitRemark::Free => server.condition.limit.hear(None, asked, now),
             LimitRemark::Rate(rate) => server.condition.limit.hear(Some(rate), now, now),
             LimitRemark::Unclear => false,
         };
         self.note_limit(key, now);
-        is_news
+        is_new
     }
 
     /// Notes whether a server names a limit, and that others are to be told of it.
@@ -79,12 +79,12 @@
 
     /// Gives room for one request at one of these servers to another daemon, where this one has some.
     pub fn lend(&mut self, wanted: &[Tag]) -> Option<Tag> {
-        let has_room = |key: &ServerKey| {
+        let has_quota = |key: &ServerKey| {
             let limit = &self.arena[*key].condition.limit;
-            limit.may_lend() && limit.quota().is_some_and(|room| room >= 1.0)
+            limit.may_lend() && limit.quota().is_some_and(|quota| quota >= 1.0)
         };
         let mut known = wanted.iter().filter_map(|tag| self.by_tag.get(tag).copied());
-        let key = known.find(has_room)?;
+        let key = known.find(has_quota)?;
         self.use_quota(key);
         Some(self.arena[key].tag)
     }
