--- a/src/adapter.rs
+++ b/src/adapter.rs
@@ -54,7 +54,7 @@
         let req = request(method, replica, path, Bytes::new());
         let answer = self.wire.send(replica, req, NotSent::begin(), SHORT).await.ok()?;
         let status = answer.status;
-        let body = answer.whole(SMALL_BODY, SHORT).await.ok()?;
+        let body = answer.read_to_end(SMALL_BODY, SHORT).await.ok()?;
         Some((status, body))
     }
 }
@@ -160,7 +160,7 @@
         return OpenError::Leaving(NotSent::declared());
     }
     if status.is_client_error() {
-        let body = answer.whole(SMALL_BODY, SHORT).await.unwrap_or_default();
+        let body = answer.read_to_end(SMALL_BODY, SHORT).await.unwrap_or_default();
         let message = String::from_utf8_lossy(&body).into_owned();
         return OpenError::Rejected { status: status.as_u16(), message };
     }
--- a/src/admin.rs
+++ b/src/admin.rs
@@ -105,7 +105,7 @@
             server: self.addr.to_string(),
             reason: "the answer broke off".into(),
         };
-        let bytes = answer.whole(BODY_LIMIT, LIMIT).await.map_err(broken)?;
+        let bytes = answer.read_to_end(BODY_LIMIT, LIMIT).await.map_err(broken)?;
         if status.is_success() {
             return Ok(bytes);
         }
--- a/src/answer.rs
+++ b/src/answer.rs
@@ -140,7 +140,7 @@
     }
 
     /// A whole answer that was not streamed.
-    pub fn whole(&self, text: &str, finish: &Finish) -> serde_json::Value {
+    pub fn complete_body(&self, text: &str, finish: &Finish) -> serde_json::Value {
         let (object, choice) = match self.shape {
             Shape::Chat => {
                 let message = value!({"role": "assistant", "content": text});
--- a/src/caller.rs
+++ b/src/caller.rs
@@ -150,8 +150,8 @@
     };
     match (generation.streamed, generation.class.delivery) {
         (true, Delivery::Stream) => stream(generation, res).await,
-        (true, Delivery::Whole) => whole(generation, res, true).await,
-        (false, _) => whole(generation, res, false).await,
+        (true, Delivery::Whole) => respond_complete(generation, res, true).await,
+        (false, _) => respond_complete(generation, res, false).await,
     }
 }
 
@@ -295,7 +295,7 @@
 }
 
 /// Holds a generation until it is whole.
-async fn whole(generation: Generation, res: &mut Response, as_events: bool) {
+async fn respond_complete(generation: Generation, res: &mut Response, as_events: bool) {
     let relay = generation.relay();
     let position = generation.position();
     let Generation { caller, job, head, counted: _counted, .. } = generation;
@@ -313,7 +313,7 @@
                 let _ = tx.try_send(Ok(head.text(&id, reader.text())));
                 let _ = tx.try_send(Ok(head.closing(&id, &finish)));
             } else {
-                json(res, StatusCode::OK, &head.whole(reader.text(), &finish));
+                json(res, StatusCode::OK, &head.complete_body(reader.text(), &finish));
             }
         }
         Ok(End::ReaderGone) => {}
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -177,13 +177,13 @@
         held.leaving();
         return Tried::NotRun(NotSent::declared());
     }
-    read_whole(answer, held, until).await
+    read_body(answer, held, until).await
 }
 
-async fn read_whole(answer: Answer, held: &Call, until: Instant) -> Tried {
+async fn read_body(answer: Answer, held: &Call, until: Instant) -> Tried {
     let status = answer.status;
     let kind = answer.headers.get("content-type").and_then(|v| v.to_str().ok()).map(str::to_string);
-    match answer.whole(BODY_LIMIT, until.saturating_duration_since(time::now())).await {
+    match answer.read_to_end(BODY_LIMIT, until.saturating_duration_since(time::now())).await {
         Ok(body) => {
             held.succeeded();
             Tried::Answered(ServiceAnswer { status, kind, body })
--- a/src/client.rs
+++ b/src/client.rs
@@ -130,7 +130,7 @@
             let Ok(answer) = self.wire.send(*addr, req, NotSent::begin(), SHORT).await else {
                 continue;
             };
-            let Ok(body) = answer.whole(MOST_BODY, SHORT).await else {
+            let Ok(body) = answer.read_to_end(MOST_BODY, SHORT).await else {
                 continue;
             };
             let Ok(entries) = serde_json::from_slice::<Entries>(&body) else {
@@ -310,7 +310,7 @@
 async fn read_call(answer: Answer) -> Called {
     let status = answer.status.as_u16();
     let outcome = outcome_of(&answer);
-    match answer.whole(MOST_BODY, HEAD_LIMIT).await {
+    match answer.read_to_end(MOST_BODY, HEAD_LIMIT).await {
         Ok(body) => Called { status, outcome, body },
         Err(_) => Called { status, outcome: Outcome::Unknown, body: Bytes::new() },
     }
@@ -325,7 +325,7 @@
 async fn refused(answer: Answer) -> (Outcome, String) {
     let outcome = outcome_of(&answer);
     let status: StatusCode = answer.status;
-    let body = answer.whole(MOST_BODY, SHORT).await.unwrap_or_default();
+    let body = answer.read_to_end(MOST_BODY, SHORT).await.unwrap_or_default();
     (outcome, format!("{status}: {}", String::from_utf8_lossy(&body)))
 }
 
--- a/src/etcd.rs
+++ b/src/etcd.rs
@@ -140,7 +140,7 @@
     ) -> PlatformResult<T> {
         let answer = self.send(path, &body).await?;
         let bytes = answer
-            .whole(BODY_LIMIT, CALL_LIMIT)
+            .read_to_end(BODY_LIMIT, CALL_LIMIT)
             .await
             .map_err(|_| no_answer("answer broke off"))?;
         serde_json::from_slice(&bytes).map_err(|e| no_answer(e.to_string()))
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -6,7 +6,7 @@
 use crate::gateway::port::{Lost, Reply, Sending};
 use crate::gateway::quarantine::Run;
 use crate::gateway::relay;
-use crate::gateway::request::{Answer, AnswerBody, BrokenOff, Call, whole};
+use crate::gateway::request::{Answer, AnswerBody, BrokenOff, Call, full_body};
 use crate::gateway::servers::ServerKey;
 use crate::gateway::slot::{NoSlot, Slot};
 use crate::gateway::table::{RouteKind, Service};
@@ -22,7 +22,7 @@
 use tokio::time::timeout;
 
 /// Largest answer of a plain service that is held until it is whole.
-const MOST_HELD: usize = 256 << 10;
+const MAX_BUFFERED: usize = 256 << 10;
 /// Most sendings of one request, refusals by servers included.
 const MOST_SENDINGS: usize = 4;
 /// Servers besides that may be tried and not reached before a request is given up. Each may take as
@@ -311,16 +311,16 @@
 /// Reads a plain answer until it is whole; one that is too large is passed on as it comes.
 async fn hold(reply: Reply) -> Result<Answer, BrokenOff> {
     let Reply { status, headers, mut body, .. } = reply;
-    let mut held = BytesMut::new();
+    let mut buffered = BytesMut::new();
     while let Some(frame) = body.frame().await {
         if let Ok(data) = frame?.into_data() {
-            held.extend_from_slice(&data);
+            buffered.extend_from_slice(&data);
         }
-        if held.len() > MOST_HELD {
-            return Ok(Answer { status, headers, body: continued(held.freeze(), body) });
+        if buffered.len() > MAX_BUFFERED {
+            return Ok(Answer { status, headers, body: continued(buffered.freeze(), body) });
         }
     }
-    Ok(Answer { status, headers, body: whole(held.freeze()) })
+    Ok(Answer { status, headers, body: full_body(buffered.freeze()) })
 }
 
 /// A body whose first part has been read.
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -111,7 +111,7 @@
 pub type AnswerBody = UnsyncBoxBody<Bytes, BrokenOff>;
 
 /// A body that is there as a whole.
-pub fn whole(bytes: impl Into<Bytes>) -> AnswerBody {
+pub fn full_body(bytes: impl Into<Bytes>) -> AnswerBody {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
--- a/src/gateway/sums.rs
+++ b/src/gateway/sums.rs
@@ -74,38 +74,38 @@
         let Some(made) = before(sent, sum.age_ms) else {
             return;
         };
-        let held = StoredSum { sum: sum.clone(), made, came: now, way };
+        let stored = StoredSum { sum: sum.clone(), made, came: now, way };
         let newer = self.by_origin.get(&sum.origin).is_none_or(|known| {
             match known.sum.maker == sum.maker {
                 true => known.sum.made < sum.made,
                 false => made.saturating_duration_since(known.made) > OTHER_MAKER,
             }
         });
-        if newer && held.counts(now) {
-            self.by_origin.insert(sum.origin, held);
+        if newer && stored.counts(now) {
+            self.by_origin.insert(sum.origin, stored);
         }
     }
 
     /// Forgets what no longer counts.
     pub(crate) fn forget(&mut self, now: Instant) {
-        self.by_origin.retain(|_, held| held.counts(now));
+        self.by_origin.retain(|_, stored| stored.counts(now));
     }
 
     /// Sums of cells of `hall` but `own`, of which no two hold the same daemon and none one of `near`.
     pub(crate) fn cells(&self, own: CellId, near: HashSet<Tag>, now: Instant) -> Vec<&Sum> {
-        let wanted = |held: &&StoredSum| match held.sum.origin {
+        let wanted = |stored: &&StoredSum| match stored.sum.origin {
             Origin::Cell(id) => id != own && id.hall == own.hall,
             Origin::Hall(_) | Origin::OtherHalls => false,
         };
         let mut cells: Vec<&StoredSum> =
-            self.by_origin.values().filter(wanted).filter(|held| held.counts(now)).collect();
-        cells.sort_by_key(|held| (std::cmp::Reverse(held.made), held.sum.maker));
+            self.by_origin.values().filter(wanted).filter(|stored| stored.counts(now)).collect();
+        cells.sort_by_key(|stored| (std::cmp::Reverse(stored.made), stored.sum.maker));
         let mut counted = near;
         let mut disjoint = Vec::new();
-        for held in cells {
-            if held.sum.members.iter().all(|member| !counted.contains(member)) {
-                counted.extend(&held.sum.members);
-                disjoint.push(&held.sum);
+        for stored in cells {
+            if stored.sum.members.iter().all(|member| !counted.contains(member)) {
+                counted.extend(&stored.sum.members);
+                disjoint.push(&stored.sum);
             }
         }
         disjoint
@@ -114,7 +114,8 @@
     /// Sums of other halls: for a relay each hall's own, for its cell what the relay made of them. A
     /// daemon that has just become a relay, or has just lost its own, has the other ones for a while.
     pub(crate) fn halls(&self, relay: bool, now: Instant) -> Vec<&Sum> {
-        let counts = self.by_origin.values().filter(|held| held.counts(now)).map(|held| &held.sum);
+        let counts =
+            self.by_origin.values().filter(|stored| stored.counts(now)).map(|stored| &stored.sum);
         let (halls, others): (Vec<&Sum>, Vec<&Sum>) = counts
             .filter(|sum| !matches!(sum.origin, Origin::Cell(_)))
             .partition(|sum| matches!(sum.origin, Origin::Hall(_)));
@@ -129,9 +130,10 @@
         last: Option<Instant>,
         now: Instant,
     ) -> impl Iterator<Item = Sum> {
-        let came = self.by_origin.values().filter(move |held| wanted(held.sum.origin, held.way));
-        let fresh = came.filter(move |held| held.counts(now) && Some(held.came) > last);
-        fresh.map(move |held| Sum { age_ms: millis(held.made, now), ..held.sum.clone() })
+        let came =
+            self.by_origin.values().filter(move |stored| wanted(stored.sum.origin, stored.way));
+        let fresh = came.filter(move |stored| stored.counts(now) && Some(stored.came) > last);
+        fresh.map(move |stored| Sum { age_ms: millis(stored.made, now), ..stored.sum.clone() })
     }
 }
 
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -168,7 +168,7 @@
     }
 
     /// The whole body, at most `most` bytes, within `limit`.
-    pub async fn whole(mut self, most: usize, limit: Duration) -> Result<Bytes, Fault> {
+    pub async fn read_to_end(mut self, most: usize, limit: Duration) -> Result<Bytes, Fault> {
         let mut whole = Vec::new();
         let read = async {
             while let Some(data) = self.chunk().await? {
