--- a/src/gateway/cluster/answering.rs
+++ b/src/gateway/cluster/answering.rs
@@ -54,7 +54,7 @@
             match message::decode::<Request>(&first) {
                 Ok(Request::After(position)) => self.give_small(position, &mut peer_stream).await,
                 Ok(Request::AllAfter(position)) => self.give_all(position, &mut peer_stream).await,
-                Ok(Request::Room(wanted)) => {
+                Ok(Request::Quota(wanted)) => {
                     let given = self.0.gateway.lend_quota(&wanted, time::now());
                     if peer_stream.send(&given).await.is_ok() {
                         peer_stream.finish().await;
--- a/src/gateway/cluster/quota.rs
+++ b/src/gateway/cluster/quota.rs
@@ -37,7 +37,7 @@
         let handler = self.own.upgrade()?.handler();
         let servers: Vec<Tag> = wanted.iter().map(|w| w.server).collect();
         for peer in self.lenders(&wanted, time::now()) {
-            let request = Request::Room(servers.clone());
+            let request = Request::Quota(servers.clone());
             let asked = self.links.ask::<Option<Tag>>(peer, &request, QUOTA_TIMEOUT, &handler);
             match asked.await {
                 Ok(Some(server)) => return Some(server),
--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, Default)]
 pub struct Splitter {
     buffer: BytesMut,
-    /// Bytes of `rest` that were searched and hold no end of an event.
+    /// Bytes of `buffer` that were searched and hold no end of an event.
     searched: usize,
 }
 
--- a/src/gateway/heartbeat.rs
+++ b/src/gateway/heartbeat.rs
@@ -109,5 +109,5 @@
     /// All that a copy at this position lacks.
     AllAfter(Position),
     /// Room for one request at one of these servers, which are in need; the answer names that one.
-    Room(Vec<Tag>),
+    Quota(Vec<Tag>),
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -9,7 +9,7 @@
 //!   regions that requests stay in
 //! - [`condition`], `remarks`: what servers say of themselves in their answers
 //! - [`rollout`]: moving a service to a new version of its servers
-//! - [`limit`], `need`, [`promises`]: servers in need, which name how many requests they take, and callers who were told
+//! - [`limit`], `limited`, [`promises`]: servers in need, which name how many requests they take, and callers who were told
 //!   to come back to them
 //! - [`admission`]: who is let in while engines are crowded
 //! - [`core`], [`slot`]: what all requests of a daemon share, and their places at servers
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -189,11 +189,11 @@
 
 #[test]
 fn requests_between_daemons_of_the_gateway() {
-    use heartbeat::Request::{After, AllAfter, Room};
+    use heartbeat::Request::{After, AllAfter, Quota};
     let position = Position::new(1, 71);
     keeps(
         "gateway-request.hex",
-        &[After(position), AllAfter(position), Room(vec![tag(72), tag(73)])],
+        &[After(position), AllAfter(position), Quota(vec![tag(72), tag(73)])],
     );
 }
 
