--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -1,12 +1,12 @@
 //! A request's way: place, send, follow, send again where that is allowed, answer.
 
-use crate::gateway::admission::{self, Standing};
+use crate::gateway::admission::{self, AdmissionClass};
 use crate::gateway::core::Gateway;
-use crate::gateway::need::IN_NEED;
+use crate::gateway::limited::SERVERS_IN_NEED;
 use crate::gateway::port::{Lost, Reply, Sending};
 use crate::gateway::quarantine::Run;
 use crate::gateway::relay;
-use crate::gateway::request::{Answer, AnswerBody, BrokenOff, Call, whole};
+use crate::gateway::request::{Answer, AnswerBody, BrokenOff, Call, full_body};
 use crate::gateway::servers::ServerKey;
 use crate::gateway::slot::{NoSlot, Slot};
 use crate::gateway::table::{RouteKind, Service};
@@ -22,14 +22,14 @@
 use tokio::time::timeout;
 
 /// Largest answer of a plain service that is held until it is whole.
-const MOST_HELD: usize = 256 << 10;
+const MAX_BUFFERED: usize = 256 << 10;
 /// Most sendings of one request, refusals by servers included.
 const MOST_SENDINGS: usize = 4;
 /// Servers besides that may be tried and not reached before a request is given up. Each may take as
 /// long as a connection is waited for, so that a plain request's aim is past.
 const MOST_UNREACHED: usize = 4;
 /// Part of a plain route's aim after which a silent server is given up for another one.
-const SILENT_PART: f64 = 0.6;
+const SILENT_FRACTION: f64 = 0.6;
 
 /// What one sending came to. The proof is there while the request has never run.
 pub(crate) enum Sent {
@@ -131,8 +131,8 @@
     async fn slot_or_borrow(&self) -> Result<Slot, NoSlot> {
         let now = time::now();
         match self.next_slot(now) {
-            Err(why) if why.why == IN_NEED => {
-                match self.gateway.borrow_room(&self.service, self.call, &self.tried, now).await {
+            Err(why) if why.why == SERVERS_IN_NEED => {
+                match self.gateway.borrow_quota(&self.service, self.call, &self.tried, now).await {
                     true => self.next_slot(time::now()),
                     false => Err(why),
                 }
@@ -152,27 +152,27 @@
         let arrived = self.tried.len() - self.unreached;
         if arrived >= MOST_SENDINGS || self.unreached >= MOST_UNREACHED {
             let (servers, why) = (self.gateway.servers(), "servers_refuse".into());
-            return Err(self.gateway.after_rest(why, &servers, &self.service, self.call, now));
+            return Err(self.gateway.after_backoff(why, &servers, &self.service, self.call, now));
         }
         // Only what arrives at a server beyond the first time counts as a repeat.
         match arrived {
             0 => {
-                let standing = self.standing();
-                self.gateway.slot(&self.service, self.call, standing, &self.tried, now)
+                let admission_class = self.admission_class();
+                self.gateway.slot(&self.service, self.call, admission_class, &self.tried, now)
             }
             _ => {
-                let standing = Standing::Returned;
-                self.gateway.slot_again(&self.service, self.call, standing, &self.tried, now)
+                let admission_class = AdmissionClass::Returned;
+                self.gateway.slot_again(&self.service, self.call, admission_class, &self.tried, now)
             }
         }
     }
 
     /// How the request stands to those that wait; one that continues a stream which broke off has begun.
-    fn standing(&self) -> Standing {
+    fn admission_class(&self) -> AdmissionClass {
         let call = self.call;
         match call.after {
-            Some(_) => Standing::Begun,
-            None => Standing::of(call.left(call.arrived), call.route.timeout),
+            Some(_) => AdmissionClass::Begun,
+            None => AdmissionClass::of(call.left(call.arrived), call.route.timeout),
         }
     }
 
@@ -261,7 +261,7 @@
         }
         let aim = self.call.route.aim;
         Some(match self.call.route.kind {
-            RouteKind::Safe => aim.mul_f64(SILENT_PART),
+            RouteKind::Safe => aim.mul_f64(SILENT_FRACTION),
             _ => admission::patience(aim, slot.waiting + slot.place.load.reading),
         })
     }
@@ -290,7 +290,7 @@
         match proof {
             Some(proof) => {
                 if let Some(due) = why.due {
-                    self.gateway.keep_room(&self.service.name, due);
+                    self.gateway.reserve_quota(&self.service.name, due);
                 }
                 Err(refused(proof, why))
             }
@@ -311,16 +311,16 @@
 /// Reads a plain answer until it is whole; one that is too large is passed on as it comes.
 async fn hold(reply: Reply) -> Result<Answer, BrokenOff> {
     let Reply { status, headers, mut body, .. } = reply;
-    let mut held = BytesMut::new();
+    let mut buffered = BytesMut::new();
     while let Some(frame) = body.frame().await {
         if let Ok(data) = frame?.into_data() {
-            held.extend_from_slice(&data);
+            buffered.extend_from_slice(&data);
         }
-        if held.len() > MOST_HELD {
-            return Ok(Answer { status, headers, body: continued(held.freeze(), body) });
+        if buffered.len() > MAX_BUFFERED {
+            return Ok(Answer { status, headers, body: continued(buffered.freeze(), body) });
         }
     }
-    Ok(Answer { status, headers, body: whole(held.freeze()) })
+    Ok(Answer { status, headers, body: full_body(buffered.freeze()) })
 }
 
 /// A body whose first part has been read.
--- a/src/gateway/mirror/enforce.rs
+++ b/src/gateway/mirror/enforce.rs
@@ -103,8 +103,8 @@
     fn take_server(&self, state: &mut State, key: &str, record: ServerRecord, now: Instant) {
         state.missing.remove(key);
         match record.leaving {
-            true => state.news.leaving.push(record.id.to_string()),
-            false => state.news.came += 1,
+            true => state.server_changes.leaving.push(record.id.to_string()),
+            false => state.server_changes.came += 1,
         }
         self.gateway.servers().upsert(record, now);
     }
@@ -129,7 +129,7 @@
 
     pub(super) fn drop_server(&self, state: &mut State, key: &str) {
         let id = self.id(key);
-        state.news.gone.push(id.to_string());
+        state.server_changes.gone.push(id.to_string());
         self.gateway.servers().remove(id);
     }
 
@@ -147,19 +147,19 @@
         }
     }
 
-    fn take_quarantine(&self, request: &str, held: bool, now: Instant) {
+    fn take_quarantine(&self, request: &str, quarantined: bool, now: Instant) {
         let Some(fingerprint) = Fingerprint::parse(request) else {
             warn!(key = request; "no fingerprint of a request: the key keeps nothing back");
             return;
         };
-        info!(request = request, held = held; "request that ends servers");
+        info!(request = request, held = quarantined; "request that ends servers");
         let mut quarantine = self.gateway.quarantine();
-        match held {
+        match quarantined {
             true => quarantine.is_stored(fingerprint, now),
             false => quarantine.is_released(fingerprint, now),
         }
         drop(quarantine);
-        self.gateway.quarantine_news.notify_one();
+        self.gateway.quarantine_changed.notify_one();
     }
 
     fn take_daemon(&self, key: &str, value: Option<&[u8]>) {
--- a/src/gateway/sums.rs
+++ b/src/gateway/sums.rs
@@ -8,7 +8,7 @@
 use crate::gateway::cell::CellId;
 use crate::gateway::clock::{Clock, before, millis};
 use crate::gateway::fingerprint::Fingerprint;
-use crate::gateway::heartbeat::{Origin, Sum, Told};
+use crate::gateway::heartbeat::{DaemonStats, Origin, Sum};
 use crate::gateway::outcomes::Outcomes;
 use crate::gateway::quarantine::{Evidence, most_ended};
 use crate::gateway::rollout;
@@ -43,7 +43,7 @@
 }
 
 #[derive(Debug)]
-struct Held {
+struct StoredSum {
     sum: Sum,
     /// The earliest moment at which it can have been made.
     made: Instant,
@@ -52,7 +52,7 @@
     way: Way,
 }
 
-impl Held {
+impl StoredSum {
     fn counts(&self, now: Instant) -> bool {
         let lapse = match self.sum.origin {
             Origin::Cell(_) => CELL_LAPSE,
@@ -65,7 +65,7 @@
 /// The latest sum of each origin.
 #[derive(Debug, Default)]
 pub(crate) struct Sums {
-    held: HashMap<Origin, Held>,
+    by_origin: HashMap<Origin, StoredSum>,
 }
 
 impl Sums {
@@ -74,37 +74,38 @@
         let Some(made) = before(sent, sum.age_ms) else {
             return;
         };
-        let held = Held { sum: sum.clone(), made, came: now, way };
-        let newer =
-            self.held.get(&sum.origin).is_none_or(|known| match known.sum.maker == sum.maker {
+        let stored = StoredSum { sum: sum.clone(), made, came: now, way };
+        let newer = self.by_origin.get(&sum.origin).is_none_or(|known| {
+            match known.sum.maker == sum.maker {
                 true => known.sum.made < sum.made,
                 false => made.saturating_duration_since(known.made) > OTHER_MAKER,
-            });
-        if newer && held.counts(now) {
-            self.held.insert(sum.origin, held);
+            }
+        });
+        if newer && stored.counts(now) {
+            self.by_origin.insert(sum.origin, stored);
         }
     }
 
     /// Forgets what no longer counts.
     pub(crate) fn forget(&mut self, now: Instant) {
-        self.held.retain(|_, held| held.counts(now));
+        self.by_origin.retain(|_, stored| stored.counts(now));
     }
 
     /// Sums of cells of `hall` but `own`, of which no two hold the same daemon and none one of `near`.
     pub(crate) fn cells(&self, own: CellId, near: HashSet<Tag>, now: Instant) -> Vec<&Sum> {
-        let wanted = |held: &&Held| match held.sum.origin {
+        let wanted = |stored: &&StoredSum| match stored.sum.origin {
             Origin::Cell(id) => id != own && id.hall == own.hall,
             Origin::Hall(_) | Origin::OtherHalls => false,
         };
-        let mut cells: Vec<&Held> =
-            self.held.values().filter(wanted).filter(|held| held.counts(now)).collect();
-        cells.sort_by_key(|held| (std::cmp::Reverse(held.made), held.sum.maker));
+        let mut cells: Vec<&StoredSum> =
+            self.by_origin.values().filter(wanted).filter(|stored| stored.counts(now)).collect();
+        cells.sort_by_key(|stored| (std::cmp::Reverse(stored.made), stored.sum.maker));
         let mut counted = near;
         let mut disjoint = Vec::new();
-        for held in cells {
-            if held.sum.members.iter().all(|member| !counted.contains(member)) {
-                counted.extend(&held.sum.members);
-                disjoint.push(&held.sum);
+        for stored in cells {
+            if stored.sum.members.iter().all(|member| !counted.contains(member)) {
+                counted.extend(&stored.sum.members);
+                disjoint.push(&stored.sum);
             }
         }
         disjoint
@@ -113,7 +114,8 @@
     /// Sums of other halls: for a relay each hall's own, for its cell what the relay made of them. A
     /// daemon that has just become a relay, or has just lost its own, has the other ones for a while.
     pub(crate) fn halls(&self, relay: bool, now: Instant) -> Vec<&Sum> {
-        let counts = self.held.values().filter(|held| held.counts(now)).map(|held| &held.sum);
+        let counts =
+            self.by_origin.values().filter(|stored| stored.counts(now)).map(|stored| &stored.sum);
         let (halls, others): (Vec<&Sum>, Vec<&Sum>) = counts
             .filter(|sum| !matches!(sum.origin, Origin::Cell(_)))
             .partition(|sum| matches!(sum.origin, Origin::Hall(_)));
@@ -128,9 +130,10 @@
         last: Option<Instant>,
         now: Instant,
     ) -> impl Iterator<Item = Sum> {
-        let came = self.held.values().filter(move |held| wanted(held.sum.origin, held.way));
-        let fresh = came.filter(move |held| held.counts(now) && Some(held.came) > last);
-        fresh.map(move |held| Sum { age_ms: millis(held.made, now), ..held.sum.clone() })
+        let came =
+            self.by_origin.values().filter(move |stored| wanted(stored.sum.origin, stored.way));
+        let fresh = came.filter(move |stored| stored.counts(now) && Some(stored.came) > last);
+        fresh.map(move |stored| Sum { age_ms: millis(stored.made, now), ..stored.sum.clone() })
     }
 }
 
@@ -153,23 +156,23 @@
 
 impl Adder {
     /// Adds what was told.
-    pub(crate) fn add(&mut self, told: &Told) {
-        add(&mut self.loads, &told.loads);
-        add(&mut self.spent, &told.spent);
-        add(&mut self.outcomes, &told.outcomes);
-        for (request, evidence) in &told.evidence {
+    pub(crate) fn add(&mut self, stats: &DaemonStats) {
+        add(&mut self.loads, &stats.loads);
+        add(&mut self.spent, &stats.spent);
+        add(&mut self.outcomes, &stats.outcomes);
+        for (request, evidence) in &stats.evidence {
             self.evidence.entry(*request).or_default().merge(evidence);
         }
-        add(&mut self.rollouts.tallies, &told.tallies);
-        for (order, age) in &told.orders {
+        add(&mut self.rollouts.tallies, &stats.tallies);
+        for (order, age) in &stats.orders {
             let known = self.rollouts.ages.entry(*order).or_default();
             *known = (*known).max(*age);
         }
     }
 
     /// Adds one daemon's word; `entry` is where callers may be sent to it.
-    pub(crate) fn add_daemon(&mut self, name: Tag, told: &Told, entry: Option<SocketAddr>) {
-        self.add(told);
+    pub(crate) fn add_daemon(&mut self, name: Tag, stats: &DaemonStats, entry: Option<SocketAddr>) {
+        self.add(stats);
         self.members.push(name);
         self.daemons += 1;
         self.entries.extend(entry);
@@ -177,7 +180,7 @@
 
     /// Adds a part of the fleet, with one of its entries. Members are kept of whole halls only.
     pub(crate) fn add_sum(&mut self, sum: &Sum) {
-        self.add(&sum.told);
+        self.add(&sum.stats);
         self.members.extend(halls_of(sum));
         self.daemons += sum.daemons;
         self.entries.extend(sum.entries.first());
@@ -199,7 +202,7 @@
             members: self.members,
             daemons: self.daemons,
             entries: self.entries,
-            told: Told {
+            stats: DaemonStats {
                 loads: self.loads.into_iter().collect(),
                 spent: self.spent.into_iter().collect(),
                 outcomes: self.outcomes.into_iter().collect(),
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -1,13 +1,13 @@
 //! One daemon's share of the talk between daemons: heartbeats, configuration, claims.
 
-use crate::claim::{ClaimAsk, Claimed, Kept};
+use crate::claim::{ClaimAsk, Claimed, StoredAnswer};
 use crate::follow::InForce;
 use crate::grant::Keeper;
 use crate::journal::{Journal, SHARDS};
 use crate::member::{Members, Record};
 use crate::message::{self, Heartbeat, PlaceAsk, Reply, Request, Unreadable};
 use crate::metrics::Metrics;
-use crate::peer::{Handler, Held, NoAnswer, Peers};
+use crate::peer::{Handler, NoAnswer, PeerStream, Peers};
 use crate::time;
 use futures_util::future::BoxFuture;
 use rand::RngExt;
@@ -146,7 +146,7 @@
         self.fetching.store(false, Ordering::Release);
         match reply {
             Ok(Reply::Changes(items)) => self.in_force.take_changes(items),
-            Ok(Reply::Whole { revision, items }) => self.in_force.take_whole(revision, items),
+            Ok(Reply::Snapshot { revision, items }) => self.in_force.replace_all(revision, items),
             _ => {}
         }
     }
@@ -167,11 +167,11 @@
     }
 
     /// Keeps the outcome of a claim, or with `None` gives it back.
-    pub async fn settle(self: &Arc<Self>, claim: ClaimAsk, kept: Option<Kept>) {
+    pub async fn settle(self: &Arc<Self>, claim: ClaimAsk, kept: Option<StoredAnswer>) {
         if let Some(holder) = self.shard_holder(claim) {
             let handler = self.handler();
             let request =
-                Request::Settle { key: claim.key, nonce: claim.nonce, kept: kept.clone() };
+                Request::Settle { key: claim.key, nonce: claim.nonce, answer: kept.clone() };
             if let Ok(Reply::Done) = self.peers.ask(holder, &request, CLAIM_LIMIT, &handler).await {
                 return;
             }
@@ -187,7 +187,11 @@
     }
 
     /// Asks the keeper of a queue for a place; the stream stays open while it is used.
-    pub async fn hold(self: &Arc<Self>, to: SocketAddr, ask: PlaceAsk) -> Result<Held, NoAnswer> {
+    pub async fn hold(
+        self: &Arc<Self>,
+        to: SocketAddr,
+        ask: PlaceAsk,
+    ) -> Result<PeerStream, NoAnswer> {
         let handler = self.handler();
         self.peers.hold(to, &Request::Place(ask), &handler).await
     }
@@ -209,23 +213,23 @@
 struct Answering(Arc<Gossip>);
 
 impl Handler for Answering {
-    fn told(&self, bytes: &[u8]) {
+    fn on_message(&self, bytes: &[u8]) {
         // One that can't be read is of a newer version or broken; the next heartbeat comes soon.
         if let Ok(heartbeat) = message::decode::<Heartbeat>(bytes) {
             self.heartbeat(heartbeat);
         }
     }
 
-    fn stream(&self, first: Vec<u8>, mut held: Held) -> BoxFuture<'_, ()> {
+    fn stream(&self, first: Vec<u8>, mut peer_stream: PeerStream) -> BoxFuture<'_, ()> {
         Box::pin(async move {
             let reply = match message::decode::<Request>(&first) {
-                Ok(Request::Place(ask)) => return self.place(ask, held).await,
+                Ok(Request::Place(ask)) => return self.place(ask, peer_stream).await,
                 Ok(request) => self.request(request).await,
                 Err(Unreadable::Version(_)) => Reply::NotUnderstood,
                 Err(Unreadable::Broken) => return,
             };
-            if held.send(&reply).await.is_ok() {
-                held.finish().await;
+            if peer_stream.send(&reply).await.is_ok() {
+                peer_stream.finish().await;
             }
         })
     }
@@ -259,7 +263,7 @@
                 // Handed to `place` before it gets here.
                 Request::Place(_) => Reply::NotUnderstood,
                 Request::Claim(claim) => Reply::Claimed(self.0.journal.claim(claim).await),
-                Request::Settle { key, nonce, kept } => {
+                Request::Settle { key, nonce, answer: kept } => {
                     self.0.journal.settle(key, nonce, kept).await;
                     Reply::Done
                 }
@@ -267,9 +271,9 @@
         })
     }
 
-    fn place(&self, ask: PlaceAsk, held: Held) -> BoxFuture<'_, ()> {
+    fn place(&self, ask: PlaceAsk, peer_stream: PeerStream) -> BoxFuture<'_, ()> {
         match self.0.pools.get() {
-            Some(keeper) => keeper.keep(ask, held),
+            Some(keeper) => keeper.keep(ask, peer_stream),
             None => Box::pin(std::future::ready(())),
         }
     }
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -10,10 +10,10 @@
 use std::time::{Duration, Instant};
 use tidestair::gateway::budget::Spent;
 use tidestair::gateway::clock::Clock;
-use tidestair::gateway::heartbeat::{Heartbeat, Told};
+use tidestair::gateway::heartbeat::{DaemonStats, Heartbeat};
 use tidestair::gateway::partner::{Pace, Stretch};
 use tidestair::gateway::roster::{Daemon, Listing};
-use tidestair::gateway::servers::{Load, Signs};
+use tidestair::gateway::servers::{Load, Observations};
 use tidestair::gateway::tag::Tag;
 use tidestair::gateway::view::{Own, View};
 
@@ -36,9 +36,9 @@
     pub own: Own,
     pub alive: bool,
     /// What it knows of servers otherwise than from the store, for its next heartbeats.
-    pub signs: Signs,
+    pub signs: Observations,
     /// What heartbeats brought of that, each with the earliest moment at which it can have been sent.
-    pub heard: Vec<(Signs, Option<Instant>)>,
+    pub heard: Vec<(Observations, Option<Instant>)>,
     divided: Option<Instant>,
     /// When each partner was greeted, is due its next heartbeat, and was told sums.
     partners: BTreeMap<SocketAddr, (Instant, Instant, Pace)>,
@@ -108,9 +108,9 @@
     pub fn start(&mut self, daemon: Daemon) -> Node {
         self.boots += 1;
         let view = View::new(daemon.clone(), Clock::new(self.boots, self.now));
-        let own = Own { told: told(&daemon.vm, 1), ready: true };
+        let own = Own { stats: told(&daemon.vm, 1), ready: true };
         let partners = BTreeMap::new();
-        let (signs, heard) = (Signs::default(), Vec::new());
+        let (signs, heard) = (Observations::default(), Vec::new());
         Node { daemon, view, own, alive: true, signs, heard, divided: None, partners, sent: 0 }
     }
 
@@ -143,7 +143,7 @@
             if node.alive {
                 node.view.note(&heartbeat, self.now);
                 let sent = node.view.clock().sent(heartbeat.echo, self.now);
-                node.heard.push((heartbeat.signs, sent));
+                node.heard.push((heartbeat.observations, sent));
             }
         }
     }
@@ -182,8 +182,10 @@
         };
         let pace = &mut node.partners.get_mut(&to).expect("it is due").2;
         let signs = node.signs.clone();
-        let heartbeat =
-            Heartbeat { signs, ..node.view.heartbeat(to, relation, node.own.clone(), pace, now) };
+        let heartbeat = Heartbeat {
+            observations: signs,
+            ..node.view.heartbeat(to, relation, node.own.clone(), pace, now)
+        };
         let wait = node.view.pause(to, relation, now);
         let wait = wait.mul_f64(self.rng.random_range(0.9..1.1));
         node.partners.get_mut(&to).expect("it is due").1 = now + wait;
@@ -204,7 +206,7 @@
     /// Sets what each living daemon has running at a server of its own name, and at one that all use.
     pub fn set_loads(&mut self, runs: u32) {
         for node in &mut self.nodes {
-            node.own.told = told(&node.daemon.vm, runs);
+            node.own.stats = told(&node.daemon.vm, runs);
         }
     }
 
@@ -213,7 +215,7 @@
     pub fn unheard(&self, same_hall: bool, runs: u32) -> (usize, usize) {
         let (mut pairs, mut wrong) = (0, 0);
         for node in self.nodes.iter().filter(|n| n.alive) {
-            let heard = node.view.heard(self.now);
+            let heard = node.view.peer_stats(self.now);
             for other in self.nodes.iter().filter(|o| o.alive && o.daemon.vm != node.daemon.vm) {
                 if (other.daemon.hall == node.daemon.hall) != same_hall {
                     continue;
@@ -229,7 +231,7 @@
     /// The most that any daemon counts at the server which all use, beside its own.
     pub fn most_counted(&self) -> u32 {
         let counted = self.nodes.iter().filter(|n| n.alive).map(|node| {
-            let heard = node.view.heard(self.now);
+            let heard = node.view.peer_stats(self.now);
             heard.loads.get(&Tag::of("all")).map_or(0, |load| load.runs)
         });
         counted.max().unwrap_or(0)
@@ -246,11 +248,11 @@
     }
 }
 
-pub fn told(vm: &str, runs: u32) -> Told {
+pub fn told(vm: &str, runs: u32) -> DaemonStats {
     let load = Load { runs, tokens: 1_000 * runs, ..Load::default() };
-    Told {
+    DaemonStats {
         loads: vec![(Tag::of(vm), load), (Tag::of("all"), load)],
         spent: vec![(Tag::of("service"), Spent { requests: 10, repeats: 1 })],
-        ..Told::default()
+        ..DaemonStats::default()
     }
 }
