--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -20,7 +20,7 @@
 use tidestair::gateway::fingerprint::Fingerprint;
 use tidestair::gateway::heartbeat::{DaemonStats, Heartbeat, Origin, Sum};
 use tidestair::gateway::mirror::Mirror;
-use tidestair::gateway::partner::{Pace, Relation};
+use tidestair::gateway::partner::{Relation, SumSchedule};
 use tidestair::gateway::place::{
     ALIKE, Candidate, Headroom, PlacementRequest, Placing, UNSEEN_COST,
 };
@@ -31,7 +31,7 @@
 use tidestair::gateway::servers::{Load, Observations, ServerRecord, Servers};
 use tidestair::gateway::table::Engine;
 use tidestair::gateway::tag::Tag;
-use tidestair::gateway::view::{Own, View};
+use tidestair::gateway::view::{OwnState, View};
 use tidestair::message;
 use tidestair::platform::Position;
 
@@ -95,7 +95,7 @@
     let (mut quarantine, now) = (Quarantine::default(), Instant::now());
     let requests = (0..256u64).map(|n| Fingerprint::new("/path", "caller", &n.to_be_bytes()));
     for request in requests {
-        quarantine.ended(request, Tag::number(1), Run::Unseen, now);
+        quarantine.ended(request, Tag::of_number(1), Run::Unseen, now);
     }
     let others = quarantine.for_peers(now).into_iter().collect();
     micros(20_000, || {
@@ -273,30 +273,30 @@
     now: Instant,
 ) -> Heartbeat {
     let clock = view.clock();
-    let echo = Echo { boot: clock.boot(), stamp: clock.stamp(now), held: 0 };
+    let echo = Echo { boot: clock.boot(), stamp: clock.stamp(now), held_us: 0 };
     Heartbeat {
         daemon: from.clone(),
         boot: 1,
         stamp,
         echo: Some(echo),
         ready: true,
-        pause_ms: 250,
-        chosen: true,
+        interval_ms: 250,
+        expects_reply: true,
         copy_status: None,
-        read_ms: None,
-        failed_ms: None,
+        store_read_age_ms: None,
+        store_failure_age_ms: None,
         cell: cell_of(from, view),
         stats: told,
         sums,
         observations: Observations::default(),
-        others: Vec::new(),
+        peer_addrs: Vec::new(),
     }
 }
 
 fn cell_of(from: &Daemon, view: &View) -> CellId {
-    let other = View::new(from.clone(), Clock::new(2, Instant::now())).layout().own;
+    let other = View::new(from.clone(), Clock::new(2, Instant::now())).layout().own_cell;
     let layout = view.layout();
-    if layout.near.contains(&from.peers) { layout.own } else { other }
+    if layout.cell_peers.contains(&from.peers) { layout.own_cell } else { other }
 }
 
 fn hearing(
@@ -312,16 +312,16 @@
     let mut view = View::new(own.clone(), Clock::new(7, now - Duration::from_secs(10)));
     let divide = || {
         let listing = Listing::new(others.clone());
-        view.divide(&listing, |_| None, Instant::now());
+        view.update_layout(&listing, |_| None, Instant::now());
     };
     note("divide", micros(20, divide));
     let near: Vec<&Daemon> =
-        others.iter().filter(|d| view.layout().near.contains(&d.peers)).collect();
+        others.iter().filter(|d| view.layout().cell_peers.contains(&d.peers)).collect();
     let far = daemons - near.len() - 1;
     let sum = Sum {
         origin: Origin::OtherHalls,
-        maker: 3,
-        made: 1,
+        boot: 3,
+        stamp: 1,
         age_ms: 10,
         members: Vec::new(),
         daemons: far as u32,
@@ -331,18 +331,18 @@
     for (n, peer) in near.iter().enumerate() {
         let sums = if n == 0 { vec![sum.clone()] } else { Vec::new() };
         let heartbeat = heartbeat(peer, &view, told(n, 1, servers), sums, 1, now);
-        view.note(&heartbeat, Instant::now());
+        view.on_heartbeat(&heartbeat, Instant::now());
     }
     let heard = micros(100, || {
         let heard = view.peer_stats(Instant::now());
         known.set_others(black_box(&heard));
     });
     note("hear", heard);
-    let own = Own { stats: told(0, 1, servers), ready: true };
+    let own = OwnState { stats: told(0, 1, servers), ready: true };
     let to = near[0].peers;
     let send = micros(200, || {
-        let (mut pace, now) = (Pace::default(), Instant::now());
-        let heartbeat = view.heartbeat(to, Relation::Near, own.clone(), &mut pace, now);
+        let (mut pace, now) = (SumSchedule::default(), Instant::now());
+        let heartbeat = view.heartbeat(to, Relation::SameCell, own.clone(), &mut pace, now);
         black_box(message::encode(&heartbeat));
     });
     note("send", send);
--- a/src/gateway/budget.rs
+++ b/src/gateway/budget.rs
@@ -76,7 +76,7 @@
 impl Default for Near {
     /// A cell of one.
     fn default() -> Near {
-        Near { own: Tag::number(0), others: Vec::new(), spent: HashMap::new() }
+        Near { own: Tag::of_number(0), others: Vec::new(), spent: HashMap::new() }
     }
 }
 
@@ -88,8 +88,8 @@
 
     /// This daemon's place among them, in an order that each server has of its own.
     pub fn place(&self, server: Tag) -> usize {
-        let own = self.own.with(server);
-        self.others.iter().filter(|tag| tag.with(server) < own).count()
+        let own = self.own.combined_with(server);
+        self.others.iter().filter(|tag| tag.combined_with(server) < own).count()
     }
 }
 
--- a/src/gateway/cell.rs
+++ b/src/gateway/cell.rs
@@ -19,10 +19,10 @@
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
 
-/// Daemons up to which a fleet is one cell, below [`MOST_IN_CELL`]: twice the users' small deployments.
-pub const ONE_CELL: usize = 14;
+/// Daemons up to which a fleet is one cell, below [`MAX_CELL_SIZE`]: twice the users' small deployments.
+pub const MAX_UNDIVIDED: usize = 14;
 /// Daemons of one hall up to which the hall is one cell. A cell's heartbeats are its size squared.
-pub const MOST_IN_CELL: usize = 20;
+pub const MAX_CELL_SIZE: usize = 20;
 
 /// A cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -36,15 +36,15 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Layout {
     /// Its own cell.
-    pub own: CellId,
+    pub own_cell: CellId,
     /// The daemons of its cell, itself not among them.
-    pub near: HashSet<SocketAddr>,
+    pub cell_peers: HashSet<SocketAddr>,
     /// The cell's relay where that is another daemon.
-    pub through: Option<SocketAddr>,
+    pub relay: Option<SocketAddr>,
     /// Relays of the hall's other cells, which a relay tells the sum of its own.
-    pub siblings: HashSet<SocketAddr>,
+    pub sibling_relays: HashSet<SocketAddr>,
     /// Relays in other halls, which it tells the sum of its hall.
-    pub halls: HashSet<SocketAddr>,
+    pub hall_relays: HashSet<SocketAddr>,
     /// Whether the fleet is more than one cell.
     pub divided: bool,
 }
@@ -53,7 +53,7 @@
     /// The division of a fleet of `own` and `others`. A cell's relay is its strongest daemon of which
     /// `is_silent` does not say that it doesn't answer.
     pub fn of(own: &Daemon, others: &[Daemon], is_silent: impl Fn(SocketAddr) -> bool) -> Layout {
-        let divided = others.len() + 1 > ONE_CELL;
+        let divided = others.len() + 1 > MAX_UNDIVIDED;
         let in_hall = others.iter().filter(|d| !divided || d.hall == own.hall).chain([own]);
         let cells = cells(in_hall.collect());
         let part = cells.iter().position(|cell| cell.iter().any(|d| d.vm == own.vm)).unwrap_or(0);
@@ -63,16 +63,17 @@
         let hall = Tag::of(if divided { &own.hall } else { "" });
         let mut layout = Layout {
             // Halls have far fewer cells than 2^32.
-            own: CellId { hall, part: part as u32 },
-            near: near.into_iter().map(|d| d.peers).collect(),
-            through,
-            siblings: HashSet::new(),
-            halls: HashSet::new(),
+            own_cell: CellId { hall, part: part as u32 },
+            cell_peers: near.into_iter().map(|d| d.peers).collect(),
+            relay: through,
+            sibling_relays: HashSet::new(),
+            hall_relays: HashSet::new(),
             divided,
         };
         if layout.is_relay() {
             let siblings = cells.iter().enumerate().filter(|(i, _)| *i != part);
-            layout.siblings = siblings.filter_map(|(_, cell)| contact(cell, &is_silent)).collect();
+            layout.sibling_relays =
+                siblings.filter_map(|(_, cell)| contact(cell, &is_silent)).collect();
             let duties = other_halls(own, others)
                 .into_iter()
                 .map(|(other, daemons)| (duty(hall, other), daemons))
@@ -81,19 +82,19 @@
                 let theirs = self::cells(daemons);
                 contact(&theirs[(duty % theirs.len() as u64) as usize], &is_silent)
             });
-            layout.halls = reached.collect();
+            layout.hall_relays = reached.collect();
         }
         layout
     }
 
     /// Whether it is the relay of its cell.
     pub fn is_relay(&self) -> bool {
-        self.divided && self.through.is_none()
+        self.divided && self.relay.is_none()
     }
 
     /// All daemons that this one tells something unasked.
     pub fn partners(&self) -> impl Iterator<Item = SocketAddr> {
-        self.near.iter().chain(&self.siblings).chain(&self.halls).copied()
+        self.cell_peers.iter().chain(&self.sibling_relays).chain(&self.hall_relays).copied()
     }
 }
 
@@ -108,10 +109,10 @@
 
 /// The first daemon of each hall but the own, in an order that each server has of its own. It is also the first of
 /// its cell, however the hall is divided.
-pub fn first_of_halls(own: &Daemon, others: &[Daemon], server: Tag) -> Vec<SocketAddr> {
+pub fn first_in_each_hall(own: &Daemon, others: &[Daemon], server: Tag) -> Vec<SocketAddr> {
     let halls = other_halls(own, others).into_values();
     let first = |daemons: Vec<&Daemon>| {
-        let first = daemons.into_iter().min_by_key(|d| Tag::of(&d.vm).with(server));
+        let first = daemons.into_iter().min_by_key(|d| Tag::of(&d.vm).combined_with(server));
         first.map(|daemon| daemon.peers)
     };
     halls.filter_map(first).collect()
@@ -128,7 +129,7 @@
 /// their names' tags, so that one that comes or goes moves at most one daemon between two parts.
 fn cells(mut daemons: Vec<&Daemon>) -> Vec<Vec<&Daemon>> {
     daemons.sort_by_cached_key(|d| Tag::of(&d.vm));
-    let count = daemons.len().div_ceil(MOST_IN_CELL).max(1);
+    let count = daemons.len().div_ceil(MAX_CELL_SIZE).max(1);
     let bound = |i: usize| daemons.len() * i / count;
     (0..count).map(|i| daemons[bound(i)..bound(i + 1)].to_vec()).collect()
 }
@@ -140,5 +141,5 @@
 
 /// A number for a pair of halls, the same seen from both: it chooses the cells whose relays cross.
 fn duty(one: Tag, other: Tag) -> u64 {
-    one.min(other).with(one.max(other)).value()
+    one.min(other).combined_with(one.max(other)).value()
 }
--- a/src/gateway/clock.rs
+++ b/src/gateway/clock.rs
@@ -16,7 +16,7 @@
     /// The clock, in microseconds since that start.
     pub stamp: u64,
     /// How long the returning daemon has had it, in microseconds.
-    pub held: u64,
+    pub held_us: u64,
 }
 
 /// The clock of one start of a process.
@@ -44,29 +44,29 @@
 
     /// What it shows, in microseconds since the start.
     pub fn stamp(&self, now: Instant) -> u64 {
-        micros(self.started, now)
+        micros_between(self.started, now)
     }
 
     /// A moment before which the message that returned `echo` was not sent; `None` where it returned
     /// no clock, or another one.
-    pub fn sent(&self, echo: Option<Echo>, now: Instant) -> Option<Instant> {
+    pub fn earliest_send_time(&self, echo: Option<Echo>, now: Instant) -> Option<Instant> {
         let echo = echo.filter(|echo| echo.boot == self.boot)?;
-        let shown = Duration::from_micros(echo.stamp.checked_add(echo.held)?);
+        let shown = Duration::from_micros(echo.stamp.checked_add(echo.held_us)?);
         self.started.checked_add(shown).filter(|sent| *sent <= now)
     }
 }
 
 /// The moment so many milliseconds before another one; `None` before this machine's clock began.
-pub fn before(at: Instant, ms: u32) -> Option<Instant> {
+pub fn minus_millis(at: Instant, ms: u32) -> Option<Instant> {
     at.checked_sub(Duration::from_millis(ms.into()))
 }
 
 /// Microseconds from one moment to another.
-pub fn micros(since: Instant, now: Instant) -> u64 {
+pub fn micros_between(since: Instant, now: Instant) -> u64 {
     u64::try_from(now.saturating_duration_since(since).as_micros()).unwrap_or(u64::MAX)
 }
 
 /// The same in milliseconds, for what is told.
-pub fn millis(since: Instant, now: Instant) -> u32 {
+pub fn millis_between(since: Instant, now: Instant) -> u32 {
     u32::try_from(now.saturating_duration_since(since).as_millis()).unwrap_or(u32::MAX)
 }
--- a/src/gateway/cluster.rs
+++ b/src/gateway/cluster.rs
@@ -11,18 +11,18 @@
 mod quota;
 
 use crate::error::Result;
-use crate::gateway::clock::{Clock, before, millis};
+use crate::gateway::clock::{Clock, millis_between, minus_millis};
 use crate::gateway::core::{Gateway, Hearing, Wanted};
 use crate::gateway::heartbeat::{DaemonStats, Heartbeat, Request};
 use crate::gateway::metrics::GatewayMetrics;
 use crate::gateway::mirror::Mirror;
-use crate::gateway::partner::{Pace, Relation, Stretch};
+use crate::gateway::partner::{IntervalScale, Relation, SumSchedule};
 use crate::gateway::roster::Roster;
 use crate::gateway::servers::{Load, PeerStats};
 use crate::gateway::start;
 use crate::gateway::tag::Tag;
 use crate::gateway::update::{Lack, Update};
-use crate::gateway::view::{Own, View};
+use crate::gateway::view::{OwnState, View};
 use crate::peer::{Handler, LinkLimits, Peers};
 use crate::time;
 use crate::tls::Identity;
@@ -177,10 +177,10 @@
         if before == 0 {
             return true;
         }
-        let read = view.read();
+        let read = view.last_store_read();
         if self.mirror.last_failure().is_some_and(|failed| Some(failed) > read) {
             let since = read.unwrap_or(view.clock().started());
-            let turn = READ_STEP.saturating_mul(view.knock_turn(self.roster.count()));
+            let turn = READ_STEP.saturating_mul(view.store_retry_turn(self.roster.count()));
             return now.saturating_duration_since(since) > READ_LATELY + turn;
         }
         let turn = READ_STEP.saturating_mul(u32::try_from(before).unwrap_or(u32::MAX));
@@ -195,13 +195,13 @@
     }
 
     /// How long this daemon, which starts, waits for a peer's copy of the store.
-    pub fn start_wait(&self) -> Duration {
+    pub fn startup_wait(&self) -> Duration {
         start::wait(self.roster.own(), &self.roster.listing().0.daemons)
     }
 
     /// How long this daemon need not look again whether it should read: what others read lately is known.
-    pub fn unread_for(&self, now: Instant) -> Duration {
-        let read = self.view().read();
+    pub fn time_to_next_read_check(&self, now: Instant) -> Duration {
+        let read = self.view().last_store_read();
         let left = read.map(|at| (at + READ_LATELY).saturating_duration_since(now));
         left.unwrap_or_default().min(BEHIND)
     }
@@ -212,15 +212,15 @@
     }
 
     /// Notes that this daemon has read the store.
-    pub fn has_read(&self, now: Instant) {
-        self.view().has_read(Some(now));
+    pub fn note_store_read(&self, now: Instant) {
+        self.view().note_store_read(Some(now));
         *self.own_read.lock().expect("no holder panics") = Some(now);
         self.in_vain.store(false, Ordering::Release);
         *self.behind.lock().expect("no holder panics") = None;
     }
 
     /// Notes that this daemon asked the store in vain.
-    pub fn has_failed(&self, now: Instant) {
+    pub fn note_store_failure(&self, now: Instant) {
         self.in_vain.store(true, Ordering::Release);
         self.mirror.store_failed(now);
     }
@@ -231,23 +231,23 @@
     }
 
     /// Where callers may be sent in other cells and halls.
-    pub fn far_entries(&self, now: Instant) -> Vec<SocketAddr> {
-        self.view().far_entries(now)
+    pub fn remote_entries(&self, now: Instant) -> Vec<SocketAddr> {
+        self.view().remote_entries(now)
     }
 
     /// Divides the fleet anew and takes over what the others have running and have spent.
     fn divide(&self, now: Instant) {
         let (listing, rank) = self.roster.listing();
         let count = listing.daemons.len();
-        let stretch = Stretch::of(self.gateway.request_gap(now));
+        let stretch = IntervalScale::of(self.gateway.request_gap(now));
         let greeted = self.greeted.lock().expect("no holder panics").clone();
         let mut view = self.view();
-        view.divide(&listing, |addr| greeted.get(&addr).copied(), now);
-        view.set_stretch(stretch);
+        view.update_layout(&listing, |addr| greeted.get(&addr).copied(), now);
+        view.set_interval_scale(stretch);
         self.gateway.metrics.peers.set(view.count(now) as i64);
         self.gateway.set_others(view.spent(count, now));
         self.gateway.set_divided(view.layout().divided);
-        self.gateway.set_late(view.late_share(now));
+        self.gateway.set_late(view.summarized_fraction(now));
         self.gateway.set_rank(rank);
         drop(view);
         // What was not told again in time no longer counts.
@@ -297,7 +297,7 @@
 
     /// Whether an address is neither listed by the store nor heard.
     fn is_unknown(&self, view: &View, addr: SocketAddr) -> bool {
-        !view.knows(addr) && !self.roster.has_peer(addr)
+        !view.has_peer(addr) && !self.roster.has_peer(addr)
     }
 
     /// One task for each daemon that heartbeats are due to; it ends when they no longer are.
@@ -321,7 +321,7 @@
     async fn talk(self: &Arc<Self>, addr: SocketAddr, handler: &Arc<dyn Handler>) {
         let (mut news, mut loads) = (self.gateway.urgent_changes(), self.gateway.load_changes());
         let mut copy = self.gateway.copy_changes();
-        let mut pace = Pace::default();
+        let mut pace = SumSchedule::default();
         loop {
             let now = time::now();
             let Some(relation) = self.relation(addr, now) else {
@@ -335,12 +335,13 @@
             self.links.tell(addr, &heartbeat, handler).await;
             let (heard, pause, spacing, forwards) = {
                 let (view, now) = (self.view(), time::now());
-                let heard = view.hears(addr, now);
-                let (pause, spacing) = (view.pause(addr, relation, now), view.spacing(SPACING));
+                let heard = view.can_reach(addr, now);
+                let (pause, spacing) =
+                    (view.heartbeat_interval(addr, relation, now), view.spacing(SPACING));
                 (heard, pause, spacing, heard && self.forwards(&view, now))
             };
             let pause = pause.mul_f64(rand::rng().random_range(0.9..1.1));
-            let near = heard && relation == Relation::Near && spacing < pause;
+            let near = heard && relation == Relation::SameCell && spacing < pause;
             tokio::select! {
                 () = sleep(pause) => {}
                 // News goes out at once.
@@ -364,7 +365,7 @@
         &self,
         to: SocketAddr,
         relation: Relation,
-        pace: &mut Pace,
+        pace: &mut SumSchedule,
         now: Instant,
     ) -> Heartbeat {
         let mut view = self.view();
@@ -377,14 +378,14 @@
             let tallies = rollouts.tallies.into_iter().collect();
             let orders = rollouts.ages.into_iter().collect();
             (
-                DaemonStats { loads, spent, outcomes, evidence, tallies, orders },
+                DaemonStats { loads, spent, outcomes, evidence, tallies, rollout_ages: orders },
                 servers.observations(now),
             )
         };
-        let own = Own { stats, ready: (self.ready)() };
+        let own = OwnState { stats, ready: (self.ready)() };
         Heartbeat {
             copy_status: self.mirror.copy_status(now),
-            failed_ms: self.mirror.last_failure().map(|at| millis(at, now)),
+            store_failure_age_ms: self.mirror.last_failure().map(|at| millis_between(at, now)),
             observations,
             ..view.heartbeat(to, relation, own, pace, now)
         }
@@ -394,17 +395,17 @@
         let from = heartbeat.daemon.peers;
         let sent = {
             let mut view = self.view();
-            view.note(&heartbeat, now);
-            view.clock().sent(heartbeat.echo, now)
+            view.on_heartbeat(&heartbeat, now);
+            view.clock().earliest_send_time(heartbeat.echo, now)
         };
         self.unheard.store(true, Ordering::Release);
         self.gateway.servers().merge_observations(&heartbeat.observations, sent, now);
         self.hear_of_store(&heartbeat, sent, now);
-        self.named.lock().expect("no holder panics").extend(heartbeat.others);
+        self.named.lock().expect("no holder panics").extend(heartbeat.peer_addrs);
         let Some(statement) = heartbeat.copy_status else {
             return;
         };
-        let seen = sent.and_then(|sent| before(sent, statement.age_ms));
+        let seen = sent.and_then(|sent| minus_millis(sent, statement.age_ms));
         let lack = match seen {
             Some(seen) => self.mirror.hear(statement, seen, now),
             None => self.mirror.lack(&statement),
@@ -420,11 +421,11 @@
 
     /// Takes over when the store was last read, and last asked in vain, as far as a peer knows.
     fn hear_of_store(&self, heartbeat: &Heartbeat, sent: Option<Instant>, now: Instant) {
-        let at = |ms: u32| sent.and_then(|sent| before(sent, ms));
-        if let Some(failed) = heartbeat.failed_ms.and_then(at) {
+        let at = |ms: u32| sent.and_then(|sent| minus_millis(sent, ms));
+        if let Some(failed) = heartbeat.store_failure_age_ms.and_then(at) {
             self.mirror.store_failed(failed);
         }
-        if let Some(read) = heartbeat.read_ms.and_then(at) {
+        if let Some(read) = heartbeat.store_read_age_ms.and_then(at) {
             self.mirror.store_answered(read, now);
         }
     }
@@ -433,7 +434,9 @@
     /// store is being asked for them by now: on a narrow link the two would hold each other up.
     async fn fetch(self: Arc<Self>, from: SocketAddr, lack: Lack) {
         let complete = match lack {
-            Lack::Changes => self.take_from(from, Request::After(self.mirror.position())).await,
+            Lack::Changes => {
+                self.take_from(from, Request::SmallAfter(self.mirror.position())).await
+            }
             Lack::LargeValues | Lack::Nothing => Some(false),
         };
         let from_store = self.is_behind(time::now()) && !self.in_vain.load(Ordering::Acquire);
@@ -464,7 +467,7 @@
         };
         let update = given?;
         // Before this process's clock began, nothing can have been seen.
-        let seen = before(asked, update.copy_status.age_ms)
+        let seen = minus_millis(asked, update.copy_status.age_ms)
             .unwrap_or_else(|| self.view().clock().started());
         let complete = update.complete;
         self.mirror.apply(update, seen, time::now());
@@ -491,7 +494,7 @@
     }
 
     fn ahead(&self, server: Tag, now: Instant) -> Load {
-        self.view().ahead(server, now)
+        self.view().higher_ranked_load(server, now)
     }
 
     fn borrow_quota(&self, wanted: Vec<Wanted>) -> BoxFuture<'_, Option<Tag>> {
--- a/src/gateway/cluster/answering.rs
+++ b/src/gateway/cluster/answering.rs
@@ -52,7 +52,9 @@
     fn stream(&self, first: Vec<u8>, mut peer_stream: PeerStream) -> BoxFuture<'_, ()> {
         Box::pin(async move {
             match message::decode::<Request>(&first) {
-                Ok(Request::After(position)) => self.give_small(position, &mut peer_stream).await,
+                Ok(Request::SmallAfter(position)) => {
+                    self.give_small(position, &mut peer_stream).await
+                }
                 Ok(Request::AllAfter(position)) => self.give_all(position, &mut peer_stream).await,
                 Ok(Request::Quota(wanted)) => {
                     let given = self.0.gateway.lend_quota(&wanted, time::now());
--- a/src/gateway/cluster/quota.rs
+++ b/src/gateway/cluster/quota.rs
@@ -1,7 +1,7 @@
 //! Asking other daemons for room at servers in need.
 
 use super::Cluster;
-use crate::gateway::cell::first_of_halls;
+use crate::gateway::cell::first_in_each_hall;
 use crate::gateway::core::Wanted;
 use crate::gateway::heartbeat::Request;
 use crate::gateway::tag::Tag;
@@ -54,13 +54,13 @@
     /// Daemons that may hold room at servers in need, in an order drawn at random: those of the same cell first.
     fn lenders(&self, wanted: &[Wanted], now: Instant) -> Vec<SocketAddr> {
         let view = self.view();
-        let near = wanted.iter().flat_map(|w| view.holders_near(w.server, w.holders, now));
+        let near = wanted.iter().flat_map(|w| view.quota_holders_in_cell(w.server, w.holders, now));
         let mut lenders = drawn(near, MOST_ASKED);
         let (listing, _) = self.roster.listing();
         let others = &listing.daemons;
         if view.layout().divided && others.len() < MOST_SHARING {
             let own = self.roster.own();
-            let far = wanted.iter().flat_map(|w| first_of_halls(own, others, w.server));
+            let far = wanted.iter().flat_map(|w| first_in_each_hall(own, others, w.server));
             lenders.extend(drawn(far, MOST_ASKED_FAR));
         }
         lenders
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -59,7 +59,7 @@
         loop {
             let asked = time::now();
             if !self.cluster.should_read(asked) {
-                sleep(self.cluster.unread_for(asked).max(LOOK)).await;
+                sleep(self.cluster.time_to_next_read_check(asked).max(LOOK)).await;
                 continue;
             }
             let read = self.read(asked).await;
@@ -69,13 +69,13 @@
                 // A peer has given everything.
                 Ok(false) => {}
                 Ok(true) => {
-                    self.cluster.has_read(time::now());
+                    self.cluster.note_store_read(time::now());
                     self.heard();
                     self.failures = 0;
                     sleep(SPACING.saturating_sub(time::since(asked))).await;
                 }
                 Err(e) => {
-                    self.cluster.has_failed(time::now());
+                    self.cluster.note_store_failure(time::now());
                     self.lost(&e);
                     self.failures += 1;
                     let before = self.cluster.readers_before(time::now());
@@ -151,7 +151,7 @@
             let mates = self.store.page(&self.mirror.daemons_of(self.cluster.hall()), None).await?;
             self.mirror.take_early(mates.entries, asked, time::now());
         }
-        let until = asked + self.cluster.start_wait();
+        let until = asked + self.cluster.startup_wait();
         while self.lacks(era) && time::now() < until {
             sleep(LOOK).await;
         }
--- a/src/gateway/heartbeat.rs
+++ b/src/gateway/heartbeat.rs
@@ -30,16 +30,16 @@
     /// Whether callers may be sent to it.
     pub ready: bool,
     /// Time within which the next one follows, in milliseconds.
-    pub pause_ms: u32,
+    pub interval_ms: u32,
     /// Whether the receiver is a contact of the sender's choice, which should answer.
-    pub chosen: bool,
+    pub expects_reply: bool,
     /// How the sender's copy of the store stands.
     pub copy_status: Option<CopyStatus>,
     /// Age of the last read of the store that the sender knows of, its own or another daemon's, in
     /// milliseconds.
-    pub read_ms: Option<u32>,
+    pub store_read_age_ms: Option<u32>,
     /// Age of the last read that failed, in the same way.
-    pub failed_ms: Option<u32>,
+    pub store_failure_age_ms: Option<u32>,
     /// The sender's cell.
     pub cell: CellId,
     /// What it has running and has spent; nothing for a receiver of another cell.
@@ -49,7 +49,7 @@
     /// What the sender knows of servers otherwise than from the store.
     pub observations: Observations,
     /// Some of the daemons of its cell that it hears.
-    pub others: Vec<SocketAddr>,
+    pub peer_addrs: Vec<SocketAddr>,
 }
 
 /// What one daemon, or several together, have running and have spent.
@@ -66,7 +66,7 @@
     /// How requests went in roll-outs that are under way.
     pub tallies: Vec<(Stratum, Tally)>,
     /// How long ago those were ordered at least, in milliseconds.
-    pub orders: Vec<(Tag, u32)>,
+    pub rollout_ages: Vec<(Tag, u32)>,
 }
 
 /// Whose words a sum adds up.
@@ -86,9 +86,9 @@
     /// Whose words it adds up.
     pub origin: Origin,
     /// The start of the process that made it.
-    pub maker: u64,
+    pub boot: u64,
     /// That process's clock then, in microseconds: a later sum of the same maker has a higher one.
-    pub made: u64,
+    pub stamp: u64,
     /// How long ago that was, in milliseconds.
     pub age_ms: u32,
     /// Names of the daemons of a cell, or of the halls of `OtherHalls`, that it holds.
@@ -105,7 +105,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Request {
     /// What a copy at this position lacks, large values left out.
-    After(Position),
+    SmallAfter(Position),
     /// All that a copy at this position lacks.
     AllAfter(Position),
     /// Room for one request at one of these servers, which are in need; the answer names that one.
--- a/src/gateway/limit.rs
+++ b/src/gateway/limit.rs
@@ -18,7 +18,7 @@
 //! all have sent lately, as for repeats, let every daemon that has not yet heard of the others use the same
 //! room. The figures are in `docs/design/limits.md`.
 
-use crate::gateway::clock::millis;
+use crate::gateway::clock::millis_between;
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 
@@ -202,6 +202,6 @@
         let over = |at: Instant| now.saturating_duration_since(at) < ENDED;
         let matters = self.rate.is_some() || self.ended.is_some_and(over);
         let said = self.said.filter(|_| matters)?;
-        Some(Said { rate: self.rate, age_ms: millis(said, now) })
+        Some(Said { rate: self.rate, age_ms: millis_between(said, now) })
     }
 }
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -61,7 +61,7 @@
     /// What this daemon may say of its copy; `None` before the first confirmation.
     pub fn copy_status(&self, now: Instant) -> Option<CopyStatus> {
         let state = self.state();
-        let age_ms = clock::millis(state.confirmed?, now);
+        let age_ms = clock::millis_between(state.confirmed?, now);
         let servers = state.servers();
         Some(CopyStatus {
             position: state.position,
--- a/src/gateway/mirror/retained.rs
+++ b/src/gateway/mirror/retained.rs
@@ -39,8 +39,8 @@
     /// A checksum of the retained values; zero where there are none.
     pub(super) fn retained_checksum(&self) -> u64 {
         let mark = |(key, kept): (&Arc<str>, &Retention)| {
-            let at = Tag::of(key).with(Tag::number(kept.position.era));
-            at.with(Tag::number(kept.position.revision)).value()
+            let at = Tag::of(key).combined_with(Tag::of_number(kept.position.era));
+            at.combined_with(Tag::of_number(kept.position.revision)).value()
         };
         self.retained.iter().map(mark).fold(0, |all, one| all ^ one)
     }
--- a/src/gateway/partner.rs
+++ b/src/gateway/partner.rs
@@ -41,15 +41,17 @@
 /// By how much pauses between heartbeats are longer than where servers are busy. Heartbeats tell loads, and where
 /// servers are many for the requests, a load that is heard late changes no choice.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Stretch(f64);
+pub struct IntervalScale(f64);
 
-impl Stretch {
+impl IntervalScale {
     /// Not at all.
-    pub const NONE: Stretch = Stretch(1.0);
+    pub const NONE: IntervalScale = IntervalScale(1.0);
 
     /// For a time between two requests at one server, in seconds.
-    pub fn of(gap: f64) -> Stretch {
-        Stretch((gap * UNHEARD_FRACTION / RELAY_HEARTBEAT.as_secs_f64()).clamp(1.0, MOST_STRETCHED))
+    pub fn of(gap: f64) -> IntervalScale {
+        IntervalScale(
+            (gap * UNHEARD_FRACTION / RELAY_HEARTBEAT.as_secs_f64()).clamp(1.0, MOST_STRETCHED),
+        )
     }
 
     fn pause(self, pause: Duration, longest: Duration) -> Duration {
@@ -57,7 +59,7 @@
     }
 
     /// Requests at a server below which other halls are not told of them: they take it for idle.
-    pub fn light(self) -> u32 {
+    pub fn min_reported_runs(self) -> u32 {
         // Not negative, and at most three.
         (LIGHT * (self.0 - 1.0) / (MOST_STRETCHED - 1.0)) as u32
     }
@@ -77,22 +79,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Relation {
     /// Of the same cell.
-    Near,
+    SameCell,
     /// A relay of another cell of the hall, or one that took this daemon for its cell's relay.
-    Sibling,
+    SameHall,
     /// The same of another hall.
-    Hall,
+    OtherHall,
     /// An address from the settings or another daemon's word, which was never heard.
     Unknown,
 }
 
 /// When a heartbeat is due to a partner, as told by whether this daemon is a relay and hears it.
-pub fn pause(relation: Relation, relay: bool, heard: bool, stretch: Stretch) -> Duration {
+pub fn heartbeat_interval(
+    relation: Relation,
+    relay: bool,
+    heard: bool,
+    stretch: IntervalScale,
+) -> Duration {
     match relation {
         _ if !heard => GREET,
-        Relation::Near if relay => stretch.pause(RELAY_HEARTBEAT, LONGEST_RELAY_HEARTBEAT),
-        Relation::Near => stretch.pause(HEARTBEAT, LONGEST_HEARTBEAT),
-        Relation::Sibling | Relation::Hall | Relation::Unknown => {
+        Relation::SameCell if relay => stretch.pause(RELAY_HEARTBEAT, LONGEST_RELAY_HEARTBEAT),
+        Relation::SameCell => stretch.pause(HEARTBEAT, LONGEST_HEARTBEAT),
+        Relation::SameHall | Relation::OtherHall | Relation::Unknown => {
             stretch.pause(CONTACT_HEARTBEAT, LONGEST_CONTACT_HEARTBEAT)
         }
     }
@@ -100,18 +107,18 @@
 
 /// When one partner was last told what.
 #[derive(Debug, Default)]
-pub struct Pace {
+pub struct SumSchedule {
     made: Option<Instant>,
     passed: Option<Instant>,
 }
 
-impl Pace {
+impl SumSchedule {
     /// Whether a sum that this daemon makes is due; if so, it counts as told now.
     pub(crate) fn is_due(&mut self, to: Relation, now: Instant) -> bool {
         let spacing = match to {
-            Relation::Near => ALL_SUMS,
-            Relation::Hall => HALL_SUMS,
-            Relation::Sibling | Relation::Unknown => CELL_SUMS,
+            Relation::SameCell => ALL_SUMS,
+            Relation::OtherHall => HALL_SUMS,
+            Relation::SameHall | Relation::Unknown => CELL_SUMS,
         };
         let due = self.made.is_none_or(|made| now.saturating_duration_since(made) >= spacing);
         if due {
--- a/src/gateway/rollout.rs
+++ b/src/gateway/rollout.rs
@@ -355,6 +355,6 @@
 
 /// The name of a roll-out among daemons.
 fn tag(service: &str, ordered: Position) -> Tag {
-    let era = Tag::of(service).with(Tag::number(ordered.era));
-    era.with(Tag::number(ordered.revision))
+    let era = Tag::of(service).combined_with(Tag::of_number(ordered.era));
+    era.combined_with(Tag::of_number(ordered.revision))
 }
--- a/src/gateway/rollout/pick.rs
+++ b/src/gateway/rollout/pick.rs
@@ -75,7 +75,7 @@
     /// The draw of a request by its route and id.
     pub fn first(route: &str, id: &str) -> Draw {
         let route = Tag::of(route);
-        let drawn = route.with(Tag::of(id)).value() as f64 / u64::MAX as f64;
+        let drawn = route.combined_with(Tag::of(id)).value() as f64 / u64::MAX as f64;
         Draw::First(route, drawn)
     }
 }
--- a/src/gateway/rollout/rollouts.rs
+++ b/src/gateway/rollout/rollouts.rs
@@ -5,7 +5,7 @@
     Arm, Census, Draw, Order, Pick, Record, Reports, Retired, Rollout, STOPPING, State, Step,
     Stratum, tag,
 };
-use crate::gateway::clock::{before, millis};
+use crate::gateway::clock::{millis_between, minus_millis};
 use crate::gateway::tag::Tag;
 use crate::platform::Position;
 use std::collections::HashMap;
@@ -160,7 +160,7 @@
     pub fn for_peers(&self, now: Instant) -> Reports {
         let mut reports = Reports::default();
         for (_, rollout) in self.live() {
-            reports.ages.insert(rollout.tag, millis(rollout.began, now));
+            reports.ages.insert(rollout.tag, millis_between(rollout.began, now));
             let stratum = |(route, arm)| Stratum { rollout: rollout.tag, route, arm };
             let own = rollout.own.iter().map(|(key, tally)| (stratum(*key), *tally));
             reports.tallies.extend(own);
@@ -175,7 +175,7 @@
             let its = heard.tallies.iter().filter(|(stratum, _)| stratum.rollout == rollout.tag);
             rollout.others.extend(its.map(|(s, tally)| ((s.route, s.arm), *tally)));
             // An order is as old as any daemon knows it to be.
-            let age = heard.ages.get(&rollout.tag).and_then(|age| before(now, *age));
+            let age = heard.ages.get(&rollout.tag).and_then(|age| minus_millis(now, *age));
             rollout.began = age.map_or(rollout.began, |began| began.min(rollout.began));
         }
     }
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -46,7 +46,7 @@
     /// reach it.
     pub(super) fn tag(&self) -> Tag {
         let id = Tag::of(&self.id);
-        self.born.map_or(id, |born| id.with(Tag::number(born)))
+        self.born.map_or(id, |born| id.combined_with(Tag::of_number(born)))
     }
 }
 
--- a/src/gateway/servers/limits.rs
+++ b/src/gateway/servers/limits.rs
@@ -1,7 +1,7 @@
 //! What servers say of the requests a second that they take, and what this daemon may send them.
 
 use super::{ServerKey, Servers, known};
-use crate::gateway::clock::before;
+use crate::gateway::clock::minus_millis;
 use crate::gateway::limit::{LimitRemark, Said, Share};
 use crate::gateway::server::Server;
 use crate::gateway::tag::Tag;
@@ -107,7 +107,7 @@
             let Some((key, server)) = known(&self.by_tag, &mut self.arena, *tag) else {
                 continue;
             };
-            let Some(said) = before(sent, told.age_ms) else {
+            let Some(said) = minus_millis(sent, told.age_ms) else {
                 continue;
             };
             if server.condition.limit.hear(told.rate, said, now) {
--- a/src/gateway/sums.rs
+++ b/src/gateway/sums.rs
@@ -6,7 +6,7 @@
 
 use crate::gateway::budget::Spent;
 use crate::gateway::cell::CellId;
-use crate::gateway::clock::{Clock, before, millis};
+use crate::gateway::clock::{Clock, millis_between, minus_millis};
 use crate::gateway::fingerprint::Fingerprint;
 use crate::gateway::heartbeat::{DaemonStats, Origin, Sum};
 use crate::gateway::outcomes::Outcomes;
@@ -71,16 +71,15 @@
 impl Sums {
     /// Takes in a sum that was told by a message sent at `sent` at the earliest.
     pub(crate) fn take(&mut self, sum: &Sum, sent: Instant, way: Way, now: Instant) {
-        let Some(made) = before(sent, sum.age_ms) else {
+        let Some(made) = minus_millis(sent, sum.age_ms) else {
             return;
         };
         let stored = StoredSum { sum: sum.clone(), made, came: now, way };
-        let newer = self.by_origin.get(&sum.origin).is_none_or(|known| {
-            match known.sum.maker == sum.maker {
-                true => known.sum.made < sum.made,
+        let newer =
+            self.by_origin.get(&sum.origin).is_none_or(|known| match known.sum.boot == sum.boot {
+                true => known.sum.stamp < sum.stamp,
                 false => made.saturating_duration_since(known.made) > OTHER_MAKER,
-            }
-        });
+            });
         if newer && stored.counts(now) {
             self.by_origin.insert(sum.origin, stored);
         }
@@ -99,7 +98,7 @@
         };
         let mut cells: Vec<&StoredSum> =
             self.by_origin.values().filter(wanted).filter(|stored| stored.counts(now)).collect();
-        cells.sort_by_key(|stored| (std::cmp::Reverse(stored.made), stored.sum.maker));
+        cells.sort_by_key(|stored| (std::cmp::Reverse(stored.made), stored.sum.boot));
         let mut counted = near;
         let mut disjoint = Vec::new();
         for stored in cells {
@@ -133,7 +132,10 @@
         let came =
             self.by_origin.values().filter(move |stored| wanted(stored.sum.origin, stored.way));
         let fresh = came.filter(move |stored| stored.counts(now) && Some(stored.came) > last);
-        fresh.map(move |stored| Sum { age_ms: millis(stored.made, now), ..stored.sum.clone() })
+        fresh.map(move |stored| Sum {
+            age_ms: millis_between(stored.made, now),
+            ..stored.sum.clone()
+        })
     }
 }
 
@@ -164,7 +166,7 @@
             self.evidence.entry(*request).or_default().merge(evidence);
         }
         add(&mut self.rollouts.tallies, &stats.tallies);
-        for (order, age) in &stats.orders {
+        for (order, age) in &stats.rollout_ages {
             let known = self.rollouts.ages.entry(*order).or_default();
             *known = (*known).max(*age);
         }
@@ -196,8 +198,8 @@
         self.entries.truncate(LEAST_ENTRIES);
         Sum {
             origin,
-            maker: clock.boot(),
-            made: clock.stamp(now),
+            boot: clock.boot(),
+            stamp: clock.stamp(now),
             age_ms: 0,
             members: self.members,
             daemons: self.daemons,
@@ -208,7 +210,7 @@
                 outcomes: self.outcomes.into_iter().collect(),
                 evidence: most_ended(self.evidence.into_iter().collect()),
                 tallies: self.rollouts.tallies.into_iter().collect(),
-                orders: self.rollouts.ages.into_iter().collect(),
+                rollout_ages: self.rollouts.ages.into_iter().collect(),
             },
         }
     }
--- a/src/gateway/tag.rs
+++ b/src/gateway/tag.rs
@@ -14,12 +14,12 @@
     }
 
     /// The tag of a number.
-    pub fn number(number: u64) -> Tag {
-        Tag::hashed(&number)
+    pub fn of_number(of_number: u64) -> Tag {
+        Tag::hashed(&of_number)
     }
 
     /// The tag of a pair; pairs with one half in common are ordered differently for each such half.
-    pub fn with(self, other: Tag) -> Tag {
+    pub fn combined_with(self, other: Tag) -> Tag {
         Tag::hashed(&(self, other))
     }
 
--- a/src/gateway/view.rs
+++ b/src/gateway/view.rs
@@ -2,9 +2,9 @@
 
 use crate::gateway::budget::{Near, Others};
 use crate::gateway::cell::{CellId, Layout, rank};
-use crate::gateway::clock::{Clock, Echo, before, micros, millis};
+use crate::gateway::clock::{Clock, Echo, micros_between, millis_between, minus_millis};
 use crate::gateway::heartbeat::{DaemonStats, Heartbeat, Origin, Sum};
-use crate::gateway::partner::{self, Pace, Relation, Stretch};
+use crate::gateway::partner::{self, IntervalScale, Relation, SumSchedule};
 use crate::gateway::roster::{Daemon, Listing};
 use crate::gateway::servers::{Load, Observations, PeerStats};
 use crate::gateway::sums::{Adder, LEAST_ENTRIES, Sums, Way, add, halls_of};
@@ -54,7 +54,7 @@
 
 /// What a daemon tells of itself.
 #[derive(Debug, Clone, Default)]
-pub struct Own {
+pub struct OwnState {
     /// What it has running and has spent.
     pub stats: DaemonStats,
     /// Whether callers may be sent to it.
@@ -78,7 +78,7 @@
     /// The latest read of the store by any daemon, as far as told.
     read: Option<Instant>,
     /// By how much this daemon's pauses are longer than at full load.
-    stretch: Stretch,
+    stretch: IntervalScale,
     /// Of what the fleet was last divided.
     divided: Option<Division>,
 }
@@ -108,7 +108,7 @@
             sums: Sums::default(),
             relayed: None,
             read: None,
-            stretch: Stretch::NONE,
+            stretch: IntervalScale::NONE,
             divided: None,
         }
     }
@@ -126,7 +126,7 @@
     /// Divides the fleet into cells: the daemons that the store lists, and those heard of lately. Those that are
     /// neither are forgotten. `tried` tells since when a daemon is being greeted. It is divided anew only where
     /// something has changed.
-    pub fn divide(
+    pub fn update_layout(
         &mut self,
         listing: &Listing,
         tried: impl Fn(SocketAddr) -> Option<Instant>,
@@ -164,13 +164,18 @@
     }
 
     /// Sets by how much this daemon's pauses are longer than at full load.
-    pub fn set_stretch(&mut self, stretch: Stretch) {
+    pub fn set_interval_scale(&mut self, stretch: IntervalScale) {
         self.stretch = stretch;
     }
 
     /// Time to the next heartbeat to a partner.
-    pub fn pause(&self, to: SocketAddr, relation: Relation, now: Instant) -> Duration {
-        partner::pause(relation, self.layout.is_relay(), self.hears(to, now), self.stretch)
+    pub fn heartbeat_interval(&self, to: SocketAddr, relation: Relation, now: Instant) -> Duration {
+        partner::heartbeat_interval(
+            relation,
+            self.layout.is_relay(),
+            self.can_reach(to, now),
+            self.stretch,
+        )
     }
 
     /// Time after a heartbeat before which changes of load are not told.
@@ -188,7 +193,7 @@
 
     /// Notes a heartbeat, unless a later one of the same process came before it. Says whether it
     /// was noted.
-    pub fn note(&mut self, heartbeat: &Heartbeat, now: Instant) -> bool {
+    pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat, now: Instant) -> bool {
         let addr = heartbeat.daemon.peers;
         let known = self.peers.get(&addr);
         if known.is_some_and(|known| known.boot == heartbeat.boot && known.stamp > heartbeat.stamp)
@@ -199,8 +204,8 @@
             info!(peer = heartbeat.daemon.vm.as_str(), addr = addr.to_string().as_str(); "peer heard");
         }
         // What can't be dated is told again with the next heartbeat, which can.
-        if let Some(sent) = self.clock.sent(heartbeat.echo, now) {
-            self.has_read(heartbeat.read_ms.and_then(|ms| before(sent, ms)));
+        if let Some(sent) = self.clock.earliest_send_time(heartbeat.echo, now) {
+            self.note_store_read(heartbeat.store_read_age_ms.and_then(|ms| minus_millis(sent, ms)));
             self.take_sums(heartbeat, sent, now);
         }
         let peer = Peer {
@@ -209,9 +214,9 @@
             boot: heartbeat.boot,
             stamp: heartbeat.stamp,
             last_seen: now,
-            pause: Duration::from_millis(heartbeat.pause_ms.into()).min(LONGEST_PAUSE),
+            pause: Duration::from_millis(heartbeat.interval_ms.into()).min(LONGEST_PAUSE),
             ready: heartbeat.ready,
-            chose: heartbeat.chosen,
+            chose: heartbeat.expects_reply,
             cell: heartbeat.cell,
             stats: heartbeat.stats.clone(),
         };
@@ -222,7 +227,7 @@
 
     /// Takes in the sums that this daemon does not make itself.
     fn take_sums(&mut self, heartbeat: &Heartbeat, sent: Instant, now: Instant) {
-        let own = self.layout.own;
+        let own = self.layout.own_cell;
         let way = match heartbeat.cell {
             cell if cell == own => Way::OwnCell,
             cell if cell.hall == own.hall => Way::OwnHall,
@@ -241,28 +246,32 @@
     }
 
     /// Notes that some daemon has read the store.
-    pub fn has_read(&mut self, at: Option<Instant>) {
+    pub fn note_store_read(&mut self, at: Option<Instant>) {
         self.read = self.read.max(at);
     }
 
     /// When the store was last read by any daemon, as far as told.
-    pub fn read(&self) -> Option<Instant> {
+    pub fn last_store_read(&self) -> Option<Instant> {
         self.read
     }
 
     /// The clock of a daemon, to be returned to it.
     pub fn echo(&self, addr: SocketAddr, now: Instant) -> Option<Echo> {
         let peer = self.peers.get(&addr)?;
-        Some(Echo { boot: peer.boot, stamp: peer.stamp, held: micros(peer.last_seen, now) })
+        Some(Echo {
+            boot: peer.boot,
+            stamp: peer.stamp,
+            held_us: micros_between(peer.last_seen, now),
+        })
     }
 
     /// Whether a daemon has been heard and is not forgotten.
-    pub fn knows(&self, addr: SocketAddr) -> bool {
+    pub fn has_peer(&self, addr: SocketAddr) -> bool {
         self.peers.contains_key(&addr)
     }
 
     /// Whether a daemon is heard.
-    pub fn hears(&self, addr: SocketAddr, now: Instant) -> bool {
+    pub fn can_reach(&self, addr: SocketAddr, now: Instant) -> bool {
         self.peers.get(&addr).is_some_and(|p| self.is_reachable(p, now))
     }
 
@@ -272,7 +281,7 @@
 
     /// Silence after which a daemon is taken as gone for now.
     fn silence(&self, peer: &Peer) -> Duration {
-        let is_near = peer.cell.hall == self.layout.own.hall;
+        let is_near = peer.cell.hall == self.layout.own_cell.hall;
         partner::silence(peer.pause, if is_near { SILENT } else { FAR_SILENT })
     }
 
@@ -280,20 +289,20 @@
     pub fn relation(&self, addr: SocketAddr, now: Instant) -> Option<Relation> {
         let layout = &self.layout;
         let chosen = [
-            (&layout.near, Relation::Near),
-            (&layout.siblings, Relation::Sibling),
-            (&layout.halls, Relation::Hall),
+            (&layout.cell_peers, Relation::SameCell),
+            (&layout.sibling_relays, Relation::SameHall),
+            (&layout.hall_relays, Relation::OtherHall),
         ];
         let chosen = chosen.into_iter().find(|(addrs, _)| addrs.contains(&addr));
         if let Some((_, relation)) = chosen {
             return Some(relation);
         }
-        let peer = self.peers.get(&addr).filter(|_| self.hears(addr, now))?;
+        let peer = self.peers.get(&addr).filter(|_| self.can_reach(addr, now))?;
         match peer.cell {
-            cell if cell == layout.own => Some(Relation::Near),
+            cell if cell == layout.own_cell => Some(Relation::SameCell),
             _ if !peer.chose => None,
-            cell if cell.hall == layout.own.hall => Some(Relation::Sibling),
-            _ => Some(Relation::Hall),
+            cell if cell.hall == layout.own_cell.hall => Some(Relation::SameHall),
+            _ => Some(Relation::OtherHall),
         }
     }
 
@@ -309,15 +318,16 @@
     /// its cell that rank before it, as they would as its relay, and a daemon for each cell of its hall and each hall that does.
     pub fn readers_before(&self, now: Instant) -> usize {
         let near = self.near(now).filter(|p| rank(&p.daemon) < rank(&self.own)).count();
-        let cell_before = |sum: &&Sum| matches!(sum.origin, Origin::Cell(c) if c < self.layout.own);
+        let cell_before =
+            |sum: &&Sum| matches!(sum.origin, Origin::Cell(c) if c < self.layout.own_cell);
         let cells = self.other_cells(now).into_iter().filter(cell_before).count();
         let halls: Vec<Tag> = self.other_halls(now).into_iter().flat_map(halls_of).collect();
-        near + cells + halls.into_iter().filter(|hall| *hall < self.layout.own.hall).count()
+        near + cells + halls.into_iter().filter(|hall| *hall < self.layout.own_cell.hall).count()
     }
 
     /// The place of this daemon in the order in which all daemons begin to ask a store that doesn't
     /// answer, among `others` and itself. It is derived from its name alone: who is heard doesn't matter.
-    pub fn knock_turn(&self, others: usize) -> u32 {
+    pub fn store_retry_turn(&self, others: usize) -> u32 {
         let drawn = self.tag.value() as f64 / u64::MAX as f64;
         (drawn * (others + 1) as f64) as u32
     }
@@ -329,7 +339,7 @@
         let mut entries: Vec<SocketAddr> =
             self.near(now).filter(ready).map(|p| p.daemon.callers).collect();
         if entries.len() < LEAST_ENTRIES {
-            entries.extend(self.far_entries(now));
+            entries.extend(self.remote_entries(now));
             entries.sort_unstable();
             entries.dedup();
         }
@@ -338,18 +348,23 @@
 
     /// Where the other daemons of this cell that are heard and ready are reached by daemons, as far as they hold
     /// room at a server, where `count` daemons of the cell do.
-    pub fn holders_near(&self, server: Tag, count: usize, now: Instant) -> Vec<SocketAddr> {
+    pub fn quota_holders_in_cell(
+        &self,
+        server: Tag,
+        count: usize,
+        now: Instant,
+    ) -> Vec<SocketAddr> {
         let mut all: Vec<(Tag, Option<&Peer>)> =
-            self.near(now).map(|p| (p.tag.with(server), Some(p))).collect();
-        all.push((self.tag.with(server), None));
+            self.near(now).map(|p| (p.tag.combined_with(server), Some(p))).collect();
+        all.push((self.tag.combined_with(server), None));
         all.sort_unstable_by_key(|(place, _)| *place);
         let others = all.into_iter().take(count).filter_map(|(_, peer)| peer);
         others.filter(|p| p.ready).map(|p| p.daemon.peers).collect()
     }
 
     /// Where callers may be sent in other cells and halls, as far as they are heard.
-    pub fn far_entries(&self, now: Instant) -> Vec<SocketAddr> {
-        let others = self.peers.values().filter(|p| p.cell != self.layout.own);
+    pub fn remote_entries(&self, now: Instant) -> Vec<SocketAddr> {
+        let others = self.peers.values().filter(|p| p.cell != self.layout.own_cell);
         let reachable = others.filter(|p| p.ready && self.is_reachable(p, now));
         let told = self.other_cells(now).into_iter().chain(self.other_halls(now));
         let told = told.flat_map(|sum| sum.entries.iter().copied());
@@ -362,14 +377,14 @@
         &mut self,
         to: SocketAddr,
         relation: Relation,
-        own: Own,
-        pace: &mut Pace,
+        own: OwnState,
+        pace: &mut SumSchedule,
         now: Instant,
     ) -> Heartbeat {
         let sums = self.sums_for(to, relation, &own, pace, now);
-        let near = relation == Relation::Near;
+        let near = relation == Relation::SameCell;
         let layout = &self.layout;
-        let chosen = layout.siblings.contains(&to) || layout.halls.contains(&to);
+        let chosen = layout.sibling_relays.contains(&to) || layout.hall_relays.contains(&to);
         let named = self.near(now).map(|p| p.daemon.peers).take(NAMED);
         Heartbeat {
             daemon: self.own.clone(),
@@ -378,13 +393,13 @@
             echo: self.echo(to, now),
             ready: own.ready,
             // Pauses are drawn up to a tenth longer.
-            pause_ms: self.pause(to, relation, now).mul_f64(1.1).as_millis() as u32,
-            chosen: chosen || relation == Relation::Unknown,
+            interval_ms: self.heartbeat_interval(to, relation, now).mul_f64(1.1).as_millis() as u32,
+            expects_reply: chosen || relation == Relation::Unknown,
             copy_status: None,
-            read_ms: self.read.map(|at| millis(at, now)),
-            failed_ms: None,
-            cell: layout.own,
-            others: if near { named.collect() } else { Vec::new() },
+            store_read_age_ms: self.read.map(|at| millis_between(at, now)),
+            store_failure_age_ms: None,
+            cell: layout.own_cell,
+            peer_addrs: if near { named.collect() } else { Vec::new() },
             sums,
             stats: if near { own.stats } else { DaemonStats::default() },
             observations: Observations::default(),
@@ -396,24 +411,24 @@
         &mut self,
         to: SocketAddr,
         relation: Relation,
-        own: &Own,
-        pace: &mut Pace,
+        own: &OwnState,
+        pace: &mut SumSchedule,
         now: Instant,
     ) -> Vec<Sum> {
         let mut sums = Vec::new();
         match relation {
-            Relation::Near if self.layout.is_relay() => {
+            Relation::SameCell if self.layout.is_relay() => {
                 let last = pace.pass_on(now);
                 sums.extend(self.sums.passed_on(|origin, _| is_cell(origin), last, now));
                 if pace.is_due(relation, now) {
                     sums.extend(self.halls_sum(now));
                 }
             }
-            Relation::Near if self.layout.through == Some(to) => {
+            Relation::SameCell if self.layout.relay == Some(to) => {
                 let last = pace.pass_on(now);
                 sums.extend(self.sums.passed_on(|_, way| way != Way::OwnCell, last, now));
             }
-            Relation::Sibling => {
+            Relation::SameHall => {
                 let last = pace.pass_on(now);
                 let wanted = |origin, way| is_hall(origin) && way != Way::OwnHall;
                 sums.extend(self.sums.passed_on(wanted, last, now));
@@ -421,35 +436,35 @@
                     sums.push(self.cell_sum(own, now));
                 }
             }
-            Relation::Hall if pace.is_due(relation, now) => sums.push(self.hall_sum(own, now)),
-            Relation::Near | Relation::Hall | Relation::Unknown => {}
+            Relation::OtherHall if pace.is_due(relation, now) => sums.push(self.hall_sum(own, now)),
+            Relation::SameCell | Relation::OtherHall | Relation::Unknown => {}
         }
         sums
     }
 
     /// What this daemon's cell told.
-    fn cell_sum(&self, own: &Own, now: Instant) -> Sum {
+    fn cell_sum(&self, own: &OwnState, now: Instant) -> Sum {
         let mut adder = Adder::default();
         adder.add_daemon(self.tag, &own.stats, own.ready.then_some(self.own.callers));
         for peer in self.near(now) {
             adder.add_daemon(peer.tag, &peer.stats, peer.ready.then_some(peer.daemon.callers));
         }
-        adder.sum(Origin::Cell(self.layout.own), &self.clock, now)
+        adder.sum(Origin::Cell(self.layout.own_cell), &self.clock, now)
     }
 
     /// What this daemon's hall told.
-    fn hall_sum(&self, own: &Own, now: Instant) -> Sum {
+    fn hall_sum(&self, own: &OwnState, now: Instant) -> Sum {
         let mut adder = Adder::default();
         for cell in self.other_cells(now).into_iter().chain([&self.cell_sum(own, now)]) {
             adder.add_sum(cell);
         }
-        adder.leave_out_light(self.stretch.light());
-        adder.sum(Origin::Hall(self.layout.own.hall), &self.clock, now)
+        adder.leave_out_light(self.stretch.min_reported_runs());
+        adder.sum(Origin::Hall(self.layout.own_cell.hall), &self.clock, now)
     }
 
     /// What other halls told, made anew once in a while; `None` where none did.
     fn halls_sum(&mut self, now: Instant) -> Option<Sum> {
-        let age = |sum: &Sum| self.clock.stamp(now).saturating_sub(sum.made) / 1_000;
+        let age = |sum: &Sum| self.clock.stamp(now).saturating_sub(sum.stamp) / 1_000;
         let recent = self.relayed.take().filter(|sum| age(sum) < RELAYED_MS);
         let sum = recent.or_else(|| self.make_halls_sum(now))?;
         self.relayed = Some(sum.clone());
@@ -476,7 +491,7 @@
     }
 
     /// What the daemons of the same cell that rank before this one have running at a server.
-    pub fn ahead(&self, server: Tag, now: Instant) -> Load {
+    pub fn higher_ranked_load(&self, server: Tag, now: Instant) -> Load {
         let mut ahead = Load::default();
         for peer in self.near(now).filter(|peer| peer.tag < self.tag) {
             let there = peer.stats.loads.iter().filter(|(tag, _)| *tag == server);
@@ -507,7 +522,7 @@
     }
 
     /// The share of all daemons that are of this hall and are heard through sums.
-    pub fn late_share(&self, now: Instant) -> f64 {
+    pub fn summarized_fraction(&self, now: Instant) -> f64 {
         let count = |sums: Vec<&Sum>| sums.iter().map(|sum| sum.daemons).sum::<u32>();
         let (late, far) = (count(self.other_cells(now)), count(self.other_halls(now)));
         let near = 1 + self.near(now).count();
@@ -516,19 +531,19 @@
 
     /// Daemons that are heard themselves.
     pub fn count(&self, now: Instant) -> usize {
-        self.peers.keys().filter(|addr| self.hears(**addr, now)).count()
+        self.peers.keys().filter(|addr| self.can_reach(**addr, now)).count()
     }
 
     /// The daemons of this cell that are heard.
     fn near(&self, now: Instant) -> impl Iterator<Item = &Peer> {
-        let same = self.peers.values().filter(|p| p.cell == self.layout.own);
+        let same = self.peers.values().filter(|p| p.cell == self.layout.own_cell);
         same.filter(move |p| self.is_reachable(p, now))
     }
 
     /// Sums of the hall's other cells.
     fn other_cells(&self, now: Instant) -> Vec<&Sum> {
         let near = self.near(now).map(|p| p.tag).chain([self.tag]).collect();
-        self.sums.cells(self.layout.own, near, now)
+        self.sums.cells(self.layout.own_cell, near, now)
     }
 
     /// Sums of other halls, or one of all of them.
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tidestair::gateway::budget::Spent;
-use tidestair::gateway::cell::{CellId, Layout, MOST_IN_CELL, ONE_CELL};
+use tidestair::gateway::cell::{CellId, Layout, MAX_CELL_SIZE, MAX_UNDIVIDED};
 use tidestair::gateway::clock::{Clock, Echo};
 use tidestair::gateway::heartbeat::{DaemonStats, Heartbeat, Origin, Sum};
 use tidestair::gateway::outcomes::Outcomes;
@@ -39,12 +39,12 @@
 
 #[test]
 fn a_small_fleet_is_one_cell_over_all_halls() {
-    let fleet = fleet(2, ONE_CELL / 2);
+    let fleet = fleet(2, MAX_UNDIVIDED / 2);
     let layout = layout(&fleet, &fleet[0]);
     assert!(!layout.divided);
-    assert_eq!(layout.near, addrs(&fleet[1..]));
+    assert_eq!(layout.cell_peers, addrs(&fleet[1..]));
     assert!(!layout.is_relay());
-    assert_eq!(layout.partners().count(), layout.near.len());
+    assert_eq!(layout.partners().count(), layout.cell_peers.len());
 }
 
 #[test]
@@ -55,18 +55,18 @@
         let layout = layout(&fleet, own);
         assert!(layout.divided);
         let same = fleet.iter().filter(|d| d.hall == own.hall && *d != own);
-        assert_eq!(layout.near, addrs(same));
-        assert!(layout.siblings.is_empty());
+        assert_eq!(layout.cell_peers, addrs(same));
+        assert!(layout.sibling_relays.is_empty());
         match layout.is_relay() {
             true => relays.push((own.peers, layout)),
-            false => assert!(layout.halls.is_empty()),
+            false => assert!(layout.hall_relays.is_empty()),
         }
     }
     let all: HashSet<SocketAddr> = relays.iter().map(|(addr, _)| *addr).collect();
     assert_eq!(all.len(), 4);
     for (addr, layout) in relays {
         let others: HashSet<SocketAddr> = all.iter().copied().filter(|a| *a != addr).collect();
-        assert_eq!(layout.halls, others);
+        assert_eq!(layout.hall_relays, others);
     }
 }
 
@@ -75,16 +75,16 @@
     for in_hall in [15, 21, 39, 49, 50, 75, 100] {
         let fleet = fleet(1, in_hall);
         let sizes: HashSet<usize> =
-            fleet.iter().map(|own| layout(&fleet, own).near.len() + 1).collect();
+            fleet.iter().map(|own| layout(&fleet, own).cell_peers.len() + 1).collect();
         let (least, most) = (sizes.iter().min().unwrap(), sizes.iter().max().unwrap());
-        assert!(most - least <= 1 && *most <= MOST_IN_CELL, "{in_hall}: {sizes:?}");
+        assert!(most - least <= 1 && *most <= MAX_CELL_SIZE, "{in_hall}: {sizes:?}");
     }
 }
 
 #[test]
 fn one_that_leaves_moves_at_most_one_daemon_between_two_cells() {
     let fleet = fleet(1, 50);
-    let cell = |fleet: &[Daemon], own: &Daemon| layout(fleet, own).own;
+    let cell = |fleet: &[Daemon], own: &Daemon| layout(fleet, own).own_cell;
     for gone in &fleet {
         let rest = without(&fleet, gone);
         let moved = rest.iter().filter(|own| cell(&fleet, own) != cell(&rest, own)).count();
@@ -102,11 +102,14 @@
 
 #[test]
 fn all_daemons_see_the_same_cells() {
-    let fleet = fleet(3, 2 * MOST_IN_CELL + 5);
+    let fleet = fleet(3, 2 * MAX_CELL_SIZE + 5);
     let layouts: Vec<Layout> = fleet.iter().map(|own| layout(&fleet, own)).collect();
     for (own, of_own) in fleet.iter().zip(&layouts) {
         for (other, of_other) in fleet.iter().zip(&layouts).filter(|(other, _)| *other != own) {
-            assert_eq!(of_own.near.contains(&other.peers), of_own.own == of_other.own);
+            assert_eq!(
+                of_own.cell_peers.contains(&other.peers),
+                of_own.own_cell == of_other.own_cell
+            );
         }
     }
 }
@@ -123,9 +126,9 @@
 fn what_a_daemon_sends_to_does_not_grow_with_the_fleet() {
     for (halls, in_hall) in [(6, 49), (20, 50)] {
         let (relays, plain) = partners(&fleet(halls, in_hall));
-        assert!(plain.iter().all(|count| *count < MOST_IN_CELL));
+        assert!(plain.iter().all(|count| *count < MAX_CELL_SIZE));
         // Two sibling cells, and a relay's part of the pairs of halls, which all cells share.
-        assert!(relays.iter().all(|count| *count < MOST_IN_CELL + 2 + halls), "{relays:?}");
+        assert!(relays.iter().all(|count| *count < MAX_CELL_SIZE + 2 + halls), "{relays:?}");
         assert_eq!(relays.len(), halls * 3);
     }
 }
@@ -135,7 +138,7 @@
     let fleet = fleet(6, 49);
     let mut crossing = HashSet::new();
     for own in &fleet {
-        for addr in layout(&fleet, own).halls {
+        for addr in layout(&fleet, own).hall_relays {
             assert!(crossing.insert((own.peers, addr)));
         }
     }
@@ -161,11 +164,11 @@
     let fleet = fleet(4, 15);
     let own = fleet.iter().find(|own| layout(&fleet, own).is_relay()).expect("a cell has a relay");
     let others = without(&fleet, own);
-    let first = Layout::of(own, &others, |_| false).halls;
-    let second = Layout::of(own, &others, |addr| first.contains(&addr)).halls;
+    let first = Layout::of(own, &others, |_| false).hall_relays;
+    let second = Layout::of(own, &others, |addr| first.contains(&addr)).hall_relays;
     assert_eq!(second.len(), 3);
     assert!(first.is_disjoint(&second));
-    let all_silent = Layout::of(own, &others, |_| true).halls;
+    let all_silent = Layout::of(own, &others, |_| true).hall_relays;
     assert_eq!(all_silent, first, "someone is tried even so");
     let mates = others.iter().filter(|d| d.hall == own.hall);
     let successors =
@@ -201,7 +204,7 @@
     fn of(fleet: Vec<Daemon>) -> Watcher {
         let start = Instant::now();
         let mut view = View::new(fleet[0].clone(), Clock::new(BOOT, start));
-        view.divide(&Listing::new(without(&fleet, &fleet[0])), |_| None, start);
+        view.update_layout(&Listing::new(without(&fleet, &fleet[0])), |_| None, start);
         Watcher { view, fleet, start }
     }
 
@@ -211,18 +214,18 @@
             daemon: from.clone(),
             boot: 1,
             stamp,
-            echo: Some(Echo { boot: BOOT, stamp: at.as_micros() as u64, held: 0 }),
+            echo: Some(Echo { boot: BOOT, stamp: at.as_micros() as u64, held_us: 0 }),
             ready: true,
-            pause_ms: 250,
-            chosen: false,
+            interval_ms: 250,
+            expects_reply: false,
             copy_status: None,
-            read_ms: None,
-            failed_ms: None,
-            cell: layout(&self.fleet, from).own,
+            store_read_age_ms: None,
+            store_failure_age_ms: None,
+            cell: layout(&self.fleet, from).own_cell,
             stats: told(1),
             sums: Vec::new(),
             observations: Observations::default(),
-            others: Vec::new(),
+            peer_addrs: Vec::new(),
         }
     }
 
@@ -234,7 +237,7 @@
 
     fn hear(&mut self, from: usize, stamp: u64, at: Duration) {
         let heartbeat = self.heartbeat(&self.fleet[from].clone(), stamp, at);
-        self.view.note(&heartbeat, self.start + at);
+        self.view.on_heartbeat(&heartbeat, self.start + at);
     }
 
     fn runs(&self, at: Duration) -> u32 {
@@ -246,8 +249,8 @@
 fn sum(origin: Origin, maker: u64, made: u64, members: &[&Daemon], daemons: u32) -> Sum {
     Sum {
         origin,
-        maker,
-        made,
+        boot: maker,
+        stamp: made,
         age_ms: 0,
         members: members.iter().map(|d| Tag::of(&d.vm)).collect(),
         daemons,
@@ -262,10 +265,10 @@
 
 /// A daemon of each cell of the watcher's hall but its own, with its cell.
 fn siblings(fleet: &[Daemon]) -> Vec<(usize, CellId)> {
-    let own = layout(fleet, &fleet[0]).own;
+    let own = layout(fleet, &fleet[0]).own_cell;
     let mut seen = HashSet::from([own]);
     let hall = fleet.iter().enumerate().filter(|(_, d)| d.hall == fleet[0].hall);
-    let cells = hall.map(|(i, d)| (i, layout(fleet, d).own));
+    let cells = hall.map(|(i, d)| (i, layout(fleet, d).own_cell));
     cells.filter(|(_, cell)| seen.insert(*cell)).collect()
 }
 
@@ -279,12 +282,12 @@
     let origin = hall(&watcher.fleet, 1);
     for (from, made, at) in [(3, 1, 1), (4, 1, 2), (3, 2, 3)] {
         let heartbeat = watcher.sum(from, sum(origin, 9, made, &[], 5), ms(at));
-        watcher.view.note(&heartbeat, watcher.start + ms(at));
+        watcher.view.on_heartbeat(&heartbeat, watcher.start + ms(at));
     }
     assert_eq!(watcher.runs(ms(3)), 2 + 2 + 5);
     let origin = hall(&watcher.fleet, 2);
     let heartbeat = watcher.sum(3, sum(origin, 8, 1, &[], 5), ms(4));
-    watcher.view.note(&heartbeat, watcher.start + ms(4));
+    watcher.view.on_heartbeat(&heartbeat, watcher.start + ms(4));
     assert_eq!(watcher.runs(ms(4)), 2 + 2 + 5 + 5);
     let spent = watcher.view.spent(59, watcher.start + ms(4));
     assert_eq!((spent.daemons, spent.reachable), (59, 4 + 5 + 5));
@@ -307,13 +310,13 @@
         heartbeat.daemon = fleet[cells[1].0].clone();
         heartbeat.cell = cells[1].1;
         heartbeat.stamp = at as u64 + 1;
-        watcher.view.note(&heartbeat, watcher.start + ms(at as u64));
+        watcher.view.on_heartbeat(&heartbeat, watcher.start + ms(at as u64));
     }
     assert_eq!(watcher.runs(ms(1)), 1);
     // Once it is heard itself in the own cell, neither sum with it counts.
     let mut heartbeat = watcher.heartbeat(moved, 1, ms(2));
-    heartbeat.cell = watcher.view.layout().own;
-    watcher.view.note(&heartbeat, watcher.start + ms(2));
+    heartbeat.cell = watcher.view.layout().own_cell;
+    watcher.view.on_heartbeat(&heartbeat, watcher.start + ms(2));
     assert_eq!(watcher.runs(ms(2)), 1);
 }
 
@@ -323,12 +326,12 @@
     let origin = hall(&watcher.fleet, 1);
     for (at, maker, daemons) in [(0, 8, 5), (100, 9, 7), (200, 8, 5), (300, 9, 7)] {
         let heartbeat = watcher.sum(1, sum(origin, maker, at + 1, &[], daemons), ms(at));
-        watcher.view.note(&heartbeat, watcher.start + ms(at));
+        watcher.view.on_heartbeat(&heartbeat, watcher.start + ms(at));
         assert_eq!(watcher.runs(ms(at)), 1 + 5);
     }
     // The first relay is gone: the second one takes its place before its sum lapses.
     let heartbeat = watcher.sum(1, sum(origin, 9, 901, &[], 7), ms(900));
-    watcher.view.note(&heartbeat, watcher.start + ms(900));
+    watcher.view.on_heartbeat(&heartbeat, watcher.start + ms(900));
     assert_eq!(watcher.runs(ms(900)), 1 + 7);
 }
 
@@ -338,7 +341,7 @@
     watcher.hear(1, 1, ms(0));
     let origin = hall(&watcher.fleet, 1);
     let heartbeat = watcher.sum(2, sum(origin, 9, 1, &[], 1), ms(0));
-    watcher.view.note(&heartbeat, watcher.start);
+    watcher.view.on_heartbeat(&heartbeat, watcher.start);
     assert_eq!(watcher.runs(ms(500)), 3);
     assert_eq!(watcher.runs(ms(1_000)), 1, "daemons of the own cell are missed soon");
     assert_eq!(watcher.runs(ms(3_000)), 0);
@@ -352,14 +355,14 @@
     let mut old = sum(origin, 9, 1, &[], 5);
     old.age_ms = 2_400;
     let heartbeat = watcher.sum(1, old.clone(), ms(3_000));
-    watcher.view.note(&heartbeat, watcher.start + ms(3_000));
+    watcher.view.on_heartbeat(&heartbeat, watcher.start + ms(3_000));
     assert_eq!(watcher.runs(ms(3_050)), 1 + 5);
     assert_eq!(watcher.runs(ms(3_150)), 1, "it lapses by its age, not by when it came");
     // One that can't be dated does not count, however young it says it is.
     old.age_ms = 0;
     let mut undated = watcher.sum(1, old, ms(3_200));
     undated.echo = None;
-    watcher.view.note(&undated, watcher.start + ms(3_200));
+    watcher.view.on_heartbeat(&undated, watcher.start + ms(3_200));
     assert_eq!(watcher.runs(ms(3_200)), 1);
 }
 
@@ -370,7 +373,7 @@
     let mut late = watcher.heartbeat(&watcher.fleet[1].clone(), 4, ms(1));
     late.ready = false;
     late.stats.loads.clear();
-    assert!(!watcher.view.note(&late, watcher.start + ms(1)));
+    assert!(!watcher.view.on_heartbeat(&late, watcher.start + ms(1)));
     assert_eq!(watcher.runs(ms(1)), 1);
     assert_eq!(watcher.view.entries(watcher.start).len(), 1);
 }
@@ -382,7 +385,7 @@
     let mut again = watcher.heartbeat(&watcher.fleet[1].clone(), 1, ms(1));
     again.boot = 2;
     again.ready = false;
-    assert!(watcher.view.note(&again, watcher.start + ms(1)));
+    assert!(watcher.view.on_heartbeat(&again, watcher.start + ms(1)));
     assert!(watcher.view.entries(watcher.start + ms(1)).is_empty());
 }
 
@@ -391,7 +394,7 @@
     let mut watcher = Watcher::of(fleet(4, 15));
     let far = watcher.fleet[15].clone();
     let heartbeat = watcher.sum(1, sum(hall(&watcher.fleet, 1), 9, 1, &[&far], 1), ms(0));
-    watcher.view.note(&heartbeat, watcher.start);
+    watcher.view.on_heartbeat(&heartbeat, watcher.start);
     let callers = |i: usize| watcher.fleet[i].callers;
     let entries: HashSet<_> = watcher.view.entries(watcher.start).into_iter().collect();
     assert_eq!(entries, HashSet::from([callers(1), callers(15)]));
@@ -406,13 +409,13 @@
 #[test]
 fn a_read_of_the_store_that_any_daemon_tells_of_counts() {
     let mut watcher = Watcher::of(fleet(4, 15));
-    assert_eq!(watcher.view.read(), None);
+    assert_eq!(watcher.view.last_store_read(), None);
     for (from, read_ms) in [(1, 600), (15, 200), (2, 400)] {
         let mut heartbeat = watcher.heartbeat(&watcher.fleet[from].clone(), 1, ms(1_000));
-        heartbeat.read_ms = Some(read_ms);
-        watcher.view.note(&heartbeat, watcher.start + ms(1_000));
+        heartbeat.store_read_age_ms = Some(read_ms);
+        watcher.view.on_heartbeat(&heartbeat, watcher.start + ms(1_000));
     }
-    assert_eq!(watcher.view.read(), Some(watcher.start + ms(800)));
+    assert_eq!(watcher.view.last_store_read(), Some(watcher.start + ms(800)));
 }
 
 #[test]
@@ -423,25 +426,25 @@
     let start = Instant::now();
     let mut watchers = [0, 1].map(|own| {
         let mut view = View::new(fleet[own].clone(), Clock::new(own as u64, start));
-        view.divide(&Listing::new(without(&fleet, &fleet[own])), |_| None, start);
+        view.update_layout(&Listing::new(without(&fleet, &fleet[own])), |_| None, start);
         Watcher { view, fleet: fleet.clone(), start }
     });
-    watchers[0].view.has_read(Some(start));
+    watchers[0].view.note_store_read(Some(start));
     let mut now = start;
     for round in 0..50 {
         let (from, to) = (round % 2, (round + 1) % 2);
         let mut heartbeat = watchers[from].heartbeat(&fleet[from], round as u64 + 1, ms(0));
-        let read = watchers[from].view.read();
-        heartbeat.read_ms = read.map(|read| (now - read).as_millis() as u32);
+        let read = watchers[from].view.last_store_read();
+        heartbeat.store_read_age_ms = read.map(|read| (now - read).as_millis() as u32);
         heartbeat.boot = from as u64;
         heartbeat.stamp = watchers[from].view.clock().stamp(now);
         heartbeat.echo = watchers[from].view.echo(fleet[to].peers, now);
         now += way;
-        watchers[to].view.note(&heartbeat, now);
+        watchers[to].view.on_heartbeat(&heartbeat, now);
     }
     for watcher in &watchers {
-        assert!(watcher.view.read() <= Some(start), "nobody has read since");
-        let heard = watcher.view.read().expect("it was told");
+        assert!(watcher.view.last_store_read() <= Some(start), "nobody has read since");
+        let heard = watcher.view.last_store_read().expect("it was told");
         assert!(start - heard <= 2 * way + ms(1), "it is dated within a round trip");
     }
 }
@@ -462,7 +465,7 @@
         for other in 0..4 {
             let (origin, at) = (hall(&fleet, other), ms(other as u64 + 1));
             let heartbeat = watcher.sum(1, sum(origin, 9, 1, &[], 15), at);
-            watcher.view.note(&heartbeat, watcher.start + at);
+            watcher.view.on_heartbeat(&heartbeat, watcher.start + at);
         }
         firsts += usize::from(watcher.view.readers_before(watcher.start + ms(5)) == 0);
     }
@@ -488,7 +491,7 @@
 fn daemons_join_one_by_one_those_that_ask_a_store_in_vain() {
     let fleet = fleet(6, 49);
     let turn = |own: &Daemon| View::new(own.clone(), Clock::new(1, Instant::now()));
-    let mut turns: Vec<u32> = fleet.iter().map(|own| turn(own).knock_turn(293)).collect();
+    let mut turns: Vec<u32> = fleet.iter().map(|own| turn(own).store_retry_turn(293)).collect();
     turns.sort_unstable();
     assert!(turns.iter().all(|turn| *turn < 294));
     // As names are drawn, a tenth of the fleet has its turn within a tenth of the turns.
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -33,7 +33,7 @@
 fn the_shares_of_all_daemons_are_together_what_a_cold_server_may_get() {
     for daemons in FLEETS {
         for n in 0..50 {
-            let all: usize = shares(daemons, Tag::number(n)).iter().sum();
+            let all: usize = shares(daemons, Tag::of_number(n)).iter().sum();
             assert!((MOST / 2..=MOST).contains(&all), "{daemons} daemons send {all}");
         }
     }
@@ -44,7 +44,7 @@
     let servers = 300;
     let mut may = vec![0; 300];
     for n in 0..servers {
-        for (daemon, share) in shares(300, Tag::number(n)).into_iter().enumerate() {
+        for (daemon, share) in shares(300, Tag::of_number(n)).into_iter().enumerate() {
             may[daemon] += share;
         }
     }
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -11,11 +11,11 @@
 use tidestair::gateway::budget::Spent;
 use tidestair::gateway::clock::Clock;
 use tidestair::gateway::heartbeat::{DaemonStats, Heartbeat};
-use tidestair::gateway::partner::{Pace, Stretch};
+use tidestair::gateway::partner::{IntervalScale, SumSchedule};
 use tidestair::gateway::roster::{Daemon, Listing};
 use tidestair::gateway::servers::{Load, Observations};
 use tidestair::gateway::tag::Tag;
-use tidestair::gateway::view::{Own, View};
+use tidestair::gateway::view::{OwnState, View};
 
 /// Step of the simulated clock.
 pub const STEP: Duration = Duration::from_millis(5);
@@ -33,7 +33,7 @@
 pub struct Node {
     pub daemon: Daemon,
     pub view: View,
-    pub own: Own,
+    pub own: OwnState,
     pub alive: bool,
     /// What it knows of servers otherwise than from the store, for its next heartbeats.
     pub signs: Observations,
@@ -41,7 +41,7 @@
     pub heard: Vec<(Observations, Option<Instant>)>,
     divided: Option<Instant>,
     /// When each partner was greeted, is due its next heartbeat, and was told sums.
-    partners: BTreeMap<SocketAddr, (Instant, Instant, Pace)>,
+    partners: BTreeMap<SocketAddr, (Instant, Instant, SumSchedule)>,
     sent: u64,
 }
 
@@ -108,7 +108,7 @@
     pub fn start(&mut self, daemon: Daemon) -> Node {
         self.boots += 1;
         let view = View::new(daemon.clone(), Clock::new(self.boots, self.now));
-        let own = Own { stats: told(&daemon.vm, 1), ready: true };
+        let own = OwnState { stats: told(&daemon.vm, 1), ready: true };
         let partners = BTreeMap::new();
         let (signs, heard) = (Observations::default(), Vec::new());
         Node { daemon, view, own, alive: true, signs, heard, divided: None, partners, sent: 0 }
@@ -141,8 +141,8 @@
         for (_, (to, heartbeat)) in std::mem::replace(&mut self.flying, later) {
             let node = &mut self.nodes[self.at[&to]];
             if node.alive {
-                node.view.note(&heartbeat, self.now);
-                let sent = node.view.clock().sent(heartbeat.echo, self.now);
+                node.view.on_heartbeat(&heartbeat, self.now);
+                let sent = node.view.clock().earliest_send_time(heartbeat.echo, self.now);
                 node.heard.push((heartbeat.observations, sent));
             }
         }
@@ -159,11 +159,11 @@
             }
             let partners = &node.partners;
             let tried = |addr| partners.get(&addr).map(|(at, ..): &(Instant, _, _)| *at);
-            node.view.divide(&self.listing.1, tried, now);
+            node.view.update_layout(&self.listing.1, tried, now);
             let wanted = node.view.partners(now);
             node.partners.retain(|addr, _| wanted.contains(addr));
             for addr in wanted {
-                node.partners.entry(addr).or_insert((now, now, Pace::default()));
+                node.partners.entry(addr).or_insert((now, now, SumSchedule::default()));
             }
         }
         let due: Vec<SocketAddr> =
@@ -186,7 +186,7 @@
             observations: signs,
             ..node.view.heartbeat(to, relation, node.own.clone(), pace, now)
         };
-        let wait = node.view.pause(to, relation, now);
+        let wait = node.view.heartbeat_interval(to, relation, now);
         let wait = wait.mul_f64(self.rng.random_range(0.9..1.1));
         node.partners.get_mut(&to).expect("it is due").1 = now + wait;
         node.sent += 1;
@@ -239,7 +239,9 @@
 
     /// Sets the time between two requests at one server, in seconds, that all daemons know.
     pub fn set_gap(&mut self, seconds: f64) {
-        self.nodes.iter_mut().for_each(|node| node.view.set_stretch(Stretch::of(seconds)));
+        self.nodes
+            .iter_mut()
+            .for_each(|node| node.view.set_interval_scale(IntervalScale::of(seconds)));
     }
 
     pub fn relays(&self) -> Vec<usize> {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -94,7 +94,7 @@
         fleet.run(SETTLED);
         let witnesses = [0, in_hall + 1, halls * in_hall - 1];
         for witness in witnesses {
-            let ended = [(Tag::number(witness as u64), 2)].into();
+            let ended = [(Tag::of_number(witness as u64), 2)].into();
             let evidence = Evidence { ended, survived: false };
             fleet.nodes[witness].own.stats.evidence.push((request, evidence));
         }
@@ -116,13 +116,13 @@
     let mut fleet = Fleet::new(halls, in_hall, 4);
     fleet.run(SETTLED);
     let read = fleet.now;
-    fleet.nodes[0].view.has_read(Some(read));
+    fleet.nodes[0].view.note_store_read(Some(read));
     fleet.run(known + ms(100));
-    let late = fleet.nodes.iter().filter(|n| n.view.read().is_none()).count();
+    let late = fleet.nodes.iter().filter(|n| n.view.last_store_read().is_none()).count();
     assert_eq!(late, 0, "daemons that don't know of the read");
-    let oldest = fleet.nodes.iter().filter_map(|n| n.view.read()).min().unwrap();
+    let oldest = fleet.nodes.iter().filter_map(|n| n.view.last_store_read()).min().unwrap();
     assert!(read - oldest < ms(150), "dated {:?} too old", read - oldest);
-    assert!(fleet.nodes.iter().all(|n| n.view.read() <= Some(read)), "dated too young");
+    assert!(fleet.nodes.iter().all(|n| n.view.last_store_read() <= Some(read)), "dated too young");
 }
 
 #[test]
@@ -306,7 +306,7 @@
             dead.iter().map(|i| fleet.nodes[*i].daemon.callers).collect();
         for node in fleet.nodes.iter().filter(|node| node.alive) {
             let view = &node.view;
-            let named = view.entries(fleet.now).into_iter().chain(view.far_entries(fleet.now));
+            let named = view.entries(fleet.now).into_iter().chain(view.remote_entries(fleet.now));
             let named: Vec<SocketAddr> = named.filter(|addr| gone.contains(addr)).collect();
             assert!(named.is_empty(), "{} names {named:?}", node.daemon.vm);
         }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -105,7 +105,7 @@
             Evidence { ended: BTreeMap::from([(tag(21), 2)]), survived: true },
         )],
         tallies: vec![(stratum(0), tally()), (stratum(1), Tally::default())],
-        orders: vec![(tag(22), 23)],
+        rollout_ages: vec![(tag(22), 23)],
     }
 }
 
@@ -122,8 +122,8 @@
 fn sum(origin: Origin) -> Sum {
     Sum {
         origin,
-        maker: 41,
-        made: 42,
+        boot: 41,
+        stamp: 42,
         age_ms: 43,
         members: vec![tag(44), tag(45)],
         daemons: 46,
@@ -164,13 +164,13 @@
         daemon: daemon(),
         boot: 1,
         stamp: 2,
-        echo: Some(Echo { boot: 3, stamp: 4, held: 5 }),
+        echo: Some(Echo { boot: 3, stamp: 4, held_us: 5 }),
         ready: true,
-        pause_ms: 6,
-        chosen: false,
+        interval_ms: 6,
+        expects_reply: false,
         copy_status: Some(statement()),
-        read_ms: Some(7),
-        failed_ms: Some(8),
+        store_read_age_ms: Some(7),
+        store_failure_age_ms: Some(8),
         cell: cell(),
         stats: told(),
         sums: vec![sum(Origin::Cell(cell())), sum(Origin::Hall(tag(24))), sum(Origin::OtherHalls)],
@@ -182,18 +182,18 @@
                 (tag(30), Said { rate: None, age_ms: 31 }),
             ],
         },
-        others: vec![addr(7201)],
+        peer_addrs: vec![addr(7201)],
     };
     keeps("gateway-heartbeat.hex", &[heartbeat]);
 }
 
 #[test]
 fn requests_between_daemons_of_the_gateway() {
-    use heartbeat::Request::{After, AllAfter, Quota};
+    use heartbeat::Request::{AllAfter, Quota, SmallAfter};
     let position = Position::new(1, 71);
     keeps(
         "gateway-request.hex",
-        &[After(position), AllAfter(position), Quota(vec![tag(72), tag(73)])],
+        &[SmallAfter(position), AllAfter(position), Quota(vec![tag(72), tag(73)])],
     );
 }
 
--- a/tests/limits/play.rs
+++ b/tests/limits/play.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tidestair::gateway::budget::{BudgetBounds, RepeatBudget, Spent};
-use tidestair::gateway::cell::first_of_halls;
+use tidestair::gateway::cell::first_in_each_hall;
 use tidestair::gateway::cold::Rank;
 use tidestair::gateway::heartbeat::DaemonStats;
 use tidestair::gateway::limit::{CellShare, Limit, LimitRemark, Share};
@@ -227,12 +227,12 @@
         }
         let tag = known.servers.get(known.key).expect("it is listed").tag();
         let node = &self.fleet.nodes[i];
-        let mut near = node.view.holders_near(tag, holders, now);
+        let mut near = node.view.quota_holders_in_cell(tag, holders, now);
         near.sort_unstable();
         near.shuffle(&mut self.fleet.rng);
         near.truncate(ASKED);
         if node.view.layout().divided && self.fleet.listed.len() <= SHARING {
-            let mut far = first_of_halls(&node.daemon, &self.fleet.listed, tag);
+            let mut far = first_in_each_hall(&node.daemon, &self.fleet.listed, tag);
             far.shuffle(&mut self.fleet.rng);
             near.extend(far.into_iter().take(ASKED_FAR));
         }
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -15,7 +15,7 @@
 }
 
 fn server(n: u64) -> Tag {
-    Tag::number(n)
+    Tag::of_number(n)
 }
 
 fn s(n: u64) -> Duration {
