--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -54,7 +54,13 @@
     backups: true,
 };
 
-const LOAD: Load = Load { runs: 1, tokens: 3_700, reading: 3_000, once: 3_700, arriving: 0 };
+const LOAD: Load = Load {
+    runs: 1,
+    tokens: 3_700,
+    unread_prompt: 3_000,
+    non_repeatable: 3_700,
+    incoming_copies: 0,
+};
 
 fn main() {
     if std::env::args().any(|a| a == "--test") {
@@ -70,7 +76,7 @@
         let known = servers_of(servers, halls);
         note("choice", choice(&known));
         note("own_words", own_words(&known));
-        note("watched", micros(50, || drop(black_box(known.watched(Instant::now())))));
+        note("watched", micros(50, || drop(black_box(known.health_check_targets(Instant::now())))));
         copy(halls, daemons, servers, &mut note);
         hearing(halls, daemons, servers, known, &mut note);
     }
@@ -121,7 +127,7 @@
     for n in 0..count {
         let record = ServerRecord {
             id: id(n).into(),
-            born: None,
+            started_ms: None,
             service: "model".into(),
             version: "v1".into(),
             addr: SocketAddr::from(([10, 9, (n / 250) as u8, (n % 250) as u8], 80)),
@@ -134,8 +140,8 @@
     }
     for n in 0..OWN.min(count) {
         let key = servers.find(&id(n)).expect("it was added");
-        servers.begin(key, LOAD);
-        servers.judge(key, n == 0, now);
+        servers.add_load(key, LOAD);
+        servers.record_outcome(key, n == 0, now);
     }
     servers
 }
@@ -226,7 +232,7 @@
     micros(500, || {
         let now = Instant::now();
         let drawn = match servers.count("model") > DRAWN {
-            true => servers.draw("model", "hall-0", DRAWN, &mut rng),
+            true => servers.sample("model", "hall-0", DRAWN, &mut rng),
             false => servers.open("model").collect(),
         };
         let drawn = drawn.into_iter().filter(|(_, server)| servers.is_open("model", server));
@@ -335,7 +341,7 @@
     }
     let heard = micros(100, || {
         let heard = view.peer_stats(Instant::now());
-        known.set_others(black_box(&heard));
+        known.set_peer_stats(black_box(&heard));
     });
     note("hear", heard);
     let own = OwnState { stats: told(0, 1, servers), ready: true };
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -94,7 +94,8 @@
 
     /// Whether a server with such a load takes one more. One at which nothing waits and runs takes any.
     pub fn holds(self, load: Load) -> bool {
-        let fits = f64::from(load.reading) <= self.waiting && f64::from(load.tokens) <= self.memory;
+        let fits =
+            f64::from(load.unread_prompt) <= self.waiting && f64::from(load.tokens) <= self.memory;
         fits || load.runs == 0
     }
 }
--- a/src/gateway/cluster.rs
+++ b/src/gateway/cluster.rs
@@ -254,7 +254,7 @@
         self.unheard.store(true, Ordering::Release);
         let (limited, backing_off) = {
             let mut servers = self.gateway.servers();
-            servers.tidy(now);
+            servers.prune(now);
             (servers.count_limited(), servers.count_backing_off())
         };
         let metrics = self.metrics();
--- a/src/gateway/cold.rs
+++ b/src/gateway/cold.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 /// The span of the bound.
-const SECOND: Duration = Duration::from_secs(1);
+const WINDOW: Duration = Duration::from_secs(1);
 /// Part of the bound that is used. The rest is for requests that were sent within more than a second and
 /// arrive within one, and for daemons that differ for a moment about who they are.
 const USED_FRACTION: f64 = 0.7;
@@ -32,7 +32,7 @@
 
 impl WarmUp {
     /// Whether servers are cold at all.
-    fn is_any(self) -> bool {
+    fn is_enabled(self) -> bool {
         !self.time.is_zero() && self.rate > 0.0
     }
 }
@@ -75,13 +75,13 @@
         let all = (warm_up.rate * bounds.excess + bounds.slack) * USED_FRACTION;
         let all = all as usize;
         let daemons = self.daemons.max(1);
-        let place = self.place(server);
+        let place = self.position(server);
         // What doesn't divide goes to those that come first, as seen from the server's own place.
         all / daemons + usize::from(place < all % daemons)
     }
 
     /// This daemon's place among all of them, counted from one that each server has of its own.
-    fn place(self, server: Tag) -> usize {
+    fn position(self, server: Tag) -> usize {
         let daemons = self.daemons.max(1);
         let first = (server.value() % daemons as u64) as usize;
         (self.before + daemons - first) % daemons
@@ -89,7 +89,7 @@
 
     /// The same as a part of all places.
     pub fn phase(self, server: Tag) -> f64 {
-        self.place(server) as f64 / self.daemons.max(1) as f64
+        self.position(server) as f64 / self.daemons.max(1) as f64
     }
 }
 
@@ -99,7 +99,7 @@
     /// Until when it said that it is cold.
     until: Option<Instant>,
     /// Since when it may be cold without having said so.
-    since: Option<Instant>,
+    maybe_since: Option<Instant>,
     /// Whether it was not reached since it last answered: it may start again meanwhile.
     missed: bool,
 }
@@ -113,38 +113,40 @@
     }
 
     /// It has just started, or may have turned cold.
-    pub(crate) fn started(&mut self, now: Instant) {
-        self.since = Some(now);
+    pub(crate) fn note_started(&mut self, now: Instant) {
+        self.maybe_since = Some(now);
     }
 
     /// It was not reached.
-    pub(crate) fn missed(&mut self) {
+    pub(crate) fn note_unreachable(&mut self) {
         self.missed = true;
     }
 
     /// It has answered; after it could not be reached, it may have started again.
-    pub(crate) fn reached(&mut self, now: Instant) {
+    pub(crate) fn note_answer(&mut self, now: Instant) {
         if std::mem::take(&mut self.missed) {
-            self.started(now);
+            self.note_started(now);
         }
     }
 
     /// Whether it is cold, or may be, where servers warm up like that.
-    pub(crate) fn holds(self, warm_up: WarmUp, now: Instant) -> bool {
-        if !warm_up.is_any() {
+    pub(crate) fn is_cold(self, warm_up: WarmUp, now: Instant) -> bool {
+        if !warm_up.is_enabled() {
             return false;
         }
         let lately = |at: Instant| now.saturating_duration_since(at) < warm_up.time + REPORT_DELAY;
-        self.missed || self.until.is_some_and(|until| now < until) || self.since.is_some_and(lately)
+        self.missed
+            || self.until.is_some_and(|until| now < until)
+            || self.maybe_since.is_some_and(lately)
     }
 }
 
 /// When requests were sent, within the last second.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Sendings(VecDeque<Instant>);
+pub(crate) struct RecentRequests(VecDeque<Instant>);
 
-impl Sendings {
-    pub(crate) fn note(&mut self, now: Instant) {
+impl RecentRequests {
+    pub(crate) fn record(&mut self, now: Instant) {
         while self.0.front().is_some_and(|at| !is_within(*at, now)) {
             self.0.pop_front();
         }
@@ -157,5 +159,5 @@
 }
 
 fn is_within(at: Instant, now: Instant) -> bool {
-    now.saturating_duration_since(at) <= SECOND
+    now.saturating_duration_since(at) <= WINDOW
 }
--- a/src/gateway/condition.rs
+++ b/src/gateway/condition.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Backoff {
     /// When the server asked for it.
-    pub asked: Instant,
+    pub requested_at: Instant,
     /// When it is over.
     pub until: Instant,
 }
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Condition {
     /// Since when it is known to leave by its own word; never taken back.
-    leaving: Option<Instant>,
+    leaving_since: Option<Instant>,
     backoff: Option<Backoff>,
     /// What it takes from all daemons together, and what this one may send.
     pub(super) limit: Limit,
@@ -44,9 +44,9 @@
 
 impl Condition {
     /// It leaves. Says whether that is new.
-    pub(super) fn leaves(&mut self, now: Instant) -> bool {
-        let is_new = self.leaving.is_none();
-        self.leaving.get_or_insert(now);
+    pub(super) fn mark_leaving(&mut self, now: Instant) -> bool {
+        let is_new = self.leaving_since.is_none();
+        self.leaving_since.get_or_insert(now);
         is_new
     }
 
@@ -58,19 +58,19 @@
         };
         let is_longer = until > self.backoff.map_or(now, |backoff| backoff.until);
         if is_longer {
-            self.backoff = Some(Backoff { asked: now, until });
+            self.backoff = Some(Backoff { requested_at: now, until });
         }
         is_longer
     }
 
     /// Whether it has said anything that outlasts the store's entry of it.
-    pub(super) fn says_anything(&self) -> bool {
-        self.leaving.is_some() || self.backoff.is_some() || self.limit.rate().is_some()
+    pub(super) fn has_lasting_remarks(&self) -> bool {
+        self.leaving_since.is_some() || self.backoff.is_some() || self.limit.rate().is_some()
     }
 
     /// Since when it is known to leave by its own word.
-    pub fn leaving(&self) -> Option<Instant> {
-        self.leaving
+    pub fn leaving_since(&self) -> Option<Instant> {
+        self.leaving_since
     }
 
     /// Its rest, while it lasts.
--- a/src/gateway/core.rs
+++ b/src/gateway/core.rs
@@ -8,7 +8,7 @@
 use crate::gateway::port::Wire;
 use crate::gateway::promises::Promises;
 use crate::gateway::quarantine::Quarantine;
-use crate::gateway::regions::{Allowed, Regions};
+use crate::gateway::regions::{AllowedRegions, Regions};
 use crate::gateway::request::Call;
 use crate::gateway::rollout::Rollouts;
 use crate::gateway::roster::Roster;
@@ -364,14 +364,14 @@
     }
 
     /// Where a request may go: the regions of its route and of its workspace both bind.
-    pub(super) fn allowed<'a>(&'a self, call: &'a Call) -> Allowed<'a> {
+    pub(super) fn allowed<'a>(&'a self, call: &'a Call) -> AllowedRegions<'a> {
         let workspace = call.credential.as_ref().map(|credential| &credential.homes);
-        Allowed { regions: &self.regions, route: &call.route.homes, workspace }
+        AllowedRegions { regions: &self.regions, route: &call.route.homes, workspace }
     }
 
     /// Notes how an exchange with a server went; other daemons hear of a failure soon.
     pub(crate) fn judge(&self, server: ServerKey, failed: bool) {
-        self.servers().judge(server, failed, time::now());
+        self.servers().record_outcome(server, failed, time::now());
         if failed {
             self.load_changes.send_modify(|count| *count += 1);
         }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -198,15 +198,15 @@
         let left = self.call.left(now);
         let after = self.call.after;
         let sending = Sending { to: slot.place.to.clone(), left, from: None, after };
-        self.gateway.log_remarked(self.call, slot.key(), now);
+        self.gateway.log_server_remarks(self.call, slot.key(), now);
         let reply = match self.gateway.wire.send(self.call, sending, proof).await {
             Ok(reply) => reply,
             Err(lost) => return self.lost(&slot, lost).await,
         };
-        self.gateway.hear(slot.key(), &reply.remarks, now);
+        self.gateway.handle_remarks(slot.key(), &reply.remarks, now);
         let declared = || unrun.then(NotSent::declared);
         if reply.misdirected {
-            self.gateway.servers().leaves(slot.key(), time::now());
+            self.gateway.servers().mark_leaving(slot.key(), time::now());
             return Sent::NotRun(declared(), "replaced");
         }
         if reply.declined && matches!(reply.status.as_u16(), 408 | 429 | 503) {
@@ -227,10 +227,10 @@
         let knew = slot.knowledge_ms();
         info!(id = id, route = route, server = server, status = status, whole = whole, ms = ms, knowledge_ms = knew; "answer from a server");
         let Ok(answer) = answer else {
-            self.gateway.suspect(self.call, &slot, Run::Unseen).await;
+            self.gateway.handle_lost_run(self.call, &slot, Run::Unseen).await;
             return Sent::Failed(None, "broken_answer");
         };
-        self.gateway.has_survived(self.call);
+        self.gateway.note_survived(self.call);
         match failed {
             true => Sent::Failed(Some(answer), "server_error"),
             false => Sent::Answered(answer),
@@ -248,7 +248,7 @@
             }
             Lost::Unanswered { reason } => {
                 warn!(id = id, server = server, reason = reason.as_str(); "no answer from a server");
-                self.gateway.suspect(self.call, slot, Run::Unseen).await;
+                self.gateway.handle_lost_run(self.call, slot, Run::Unseen).await;
                 Sent::Failed(None, "no_answer")
             }
         }
@@ -262,7 +262,7 @@
         let aim = self.call.route.aim;
         Some(match self.call.route.kind {
             RouteKind::Safe => aim.mul_f64(SILENT_FRACTION),
-            _ => admission::patience(aim, slot.waiting + slot.place.load.reading),
+            _ => admission::patience(aim, slot.waiting + slot.place.load.unread_prompt),
         })
     }
 
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -9,15 +9,15 @@
 /// Time after a daemon has learnt that a hall is closed within which work that was already on its way
 /// there may still arrive, such as a run whose memory has just been copied. Daemons learn of it within
 /// two seconds, and the platform allows five.
-const UNDER_WAY: Duration = Duration::from_millis(1_000);
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(1_000);
 
 /// The closed halls, each with the moment at which this daemon learnt of it.
 #[derive(Debug, Default)]
-pub(crate) struct Halls {
+pub(crate) struct ClosedHalls {
     closed: HashMap<String, Instant>,
 }
 
-impl Halls {
+impl ClosedHalls {
     /// A hall is closed; one that is closed already stays so from its earlier moment on.
     pub(crate) fn close(&mut self, hall: &str, now: Instant) {
         self.closed.entry(hall.to_string()).or_insert(now);
@@ -34,8 +34,8 @@
     }
 
     /// Whether work that is under way to a hall may still be sent there.
-    pub(crate) fn may_follow(&self, hall: &str, now: Instant) -> bool {
+    pub(crate) fn accepts_in_flight(&self, hall: &str, now: Instant) -> bool {
         let closed = self.closed.get(hall);
-        closed.is_none_or(|at| now.saturating_duration_since(*at) < UNDER_WAY)
+        closed.is_none_or(|at| now.saturating_duration_since(*at) < IN_FLIGHT_TIME)
     }
 }
--- a/src/gateway/limit.rs
+++ b/src/gateway/limit.rs
@@ -28,16 +28,16 @@
 /// Time for which a server names as much as daemons that keep their room may send at once, all together. With what
 /// comes free in the next four seconds that is 5.5 s of the limit, of six that the platform bears; the rest is for
 /// parts that differ while words are late.
-const AT_ONCE: Duration = Duration::from_millis(1_500);
+const BURST_TIME: Duration = Duration::from_millis(1_500);
 /// Requests that a server bears at once besides: a few come together by chance wherever requests come. Where a
 /// daemon's part of these and of what may come at once is a whole request, it keeps that without end, and gives it
 /// to others that have none.
-const SPARE: f64 = 4.0;
+const EXTRA_BURST: f64 = 4.0;
 /// Requests a second that a server gets which names less, or none at all: one in ten seconds from all daemons,
 /// since only an answer tells that the limit is over.
-const LEAST_RATE: f64 = 0.1;
+const MIN_RATE: f64 = 0.1;
 /// Time for which others are told that a limit is over: longer than a heartbeat that named it is on its way.
-const ENDED: Duration = Duration::from_secs(10);
+const ENDED_REPORT_TIME: Duration = Duration::from_secs(10);
 /// Part by which a limit has to change for others to hear of it at once rather than with the next heartbeat.
 const URGENT_CHANGE: f64 = 0.1;
 
@@ -45,17 +45,17 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum LimitRemark {
     /// It names none.
-    Free,
+    Unlimited,
     /// Requests a second from all daemons together: zero or more, and finite.
     Rate(f64),
     /// Nothing, or no such number, which changes nothing.
     #[default]
-    Unclear,
+    Unknown,
 }
 
 /// What a server said of its limit, as daemons tell each other.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Said {
+pub struct LimitReport {
     /// Requests a second; `None` where it named no limit any more.
     pub rate: Option<f64>,
     /// How long ago, in milliseconds.
@@ -82,7 +82,7 @@
     /// How many they are.
     pub daemons: usize,
     /// This daemon's place among them, in an order of the server's own.
-    pub place: usize,
+    pub position: usize,
 }
 
 /// What is known of one server's limit, and what this daemon may send there.
@@ -91,7 +91,7 @@
     /// Requests a second; `None` where no limit is in force.
     rate: Option<f64>,
     /// When the server said so.
-    said: Option<Instant>,
+    reported_at: Option<Instant>,
     /// When the last limit was found to be over.
     ended: Option<Instant>,
     /// Requests that this daemon may send, parts of one included; `None` until it first looks.
@@ -99,13 +99,13 @@
     /// The moment for which that holds.
     at: Option<Instant>,
     /// Whether this daemon keeps whole requests without end, as those of small fleets do.
-    keeps: bool,
+    accumulates: bool,
     /// How many daemons of its cell do; none where room lapses.
     holders: usize,
 }
 
 /// Room of which what is over `most` lapses: whole requests, so that the daemons' moments stay spread.
-fn lapse(quota: f64, most: f64) -> f64 {
+fn expire_excess(quota: f64, most: f64) -> f64 {
     quota - (quota - most).max(0.0).ceil()
 }
 
@@ -118,7 +118,7 @@
     match holders {
         0 => (0, share.fraction),
         _ if holders >= cell.daemons => (cell.daemons, share.fraction),
-        _ if cell.place < holders => (holders, cell.fraction / holders as f64),
+        _ if cell.position < holders => (holders, cell.fraction / holders as f64),
         _ => (holders, 0.0),
     }
 }
@@ -127,10 +127,10 @@
     /// Takes in what the server said at a moment, unless it has said something since. Says whether other
     /// daemons should hear of it at once.
     pub fn hear(&mut self, rate: Option<f64>, said: Instant, now: Instant) -> bool {
-        if self.said.is_some_and(|known| said <= known) {
+        if self.reported_at.is_some_and(|known| said <= known) {
             return false;
         }
-        self.said = Some(said);
+        self.reported_at = Some(said);
         let before = std::mem::replace(&mut self.rate, rate);
         match (before, rate) {
             (None, None) => false,
@@ -149,24 +149,24 @@
     }
 
     /// The rate at which room grows for all daemons together; zero where no limit is in force.
-    pub fn pace(&self) -> f64 {
-        self.rate.map_or(0.0, |rate| rate.max(LEAST_RATE))
+    pub fn refill_rate(&self) -> f64 {
+        self.rate.map_or(0.0, |rate| rate.max(MIN_RATE))
     }
 
     /// Brings the room up to now.
-    pub fn settle(&mut self, share: Share, now: Instant) {
+    pub fn update_quota(&mut self, share: Share, now: Instant) {
         let since = self.at.replace(now).unwrap_or(now);
-        let at_once = self.pace() * AT_ONCE.as_secs_f64() + SPARE;
+        let at_once = self.refill_rate() * BURST_TIME.as_secs_f64() + EXTRA_BURST;
         let (holders, fraction) = holders_and_fraction(share, at_once);
         self.holders = holders;
-        let pace = self.pace() * fraction;
+        let pace = self.refill_rate() * fraction;
         let grown = self.quota.unwrap_or(share.phase)
             + pace * now.saturating_duration_since(since).as_secs_f64();
         let own = fraction * at_once;
-        self.keeps = own >= 1.0;
-        self.quota = Some(match self.keeps {
+        self.accumulates = own >= 1.0;
+        self.quota = Some(match self.accumulates {
             true => grown.min(own),
-            false => lapse(grown, 1.0 + pace * QUOTA_LIFETIME.as_secs_f64()),
+            false => expire_excess(grown, 1.0 + pace * QUOTA_LIFETIME.as_secs_f64()),
         });
     }
 
@@ -179,7 +179,7 @@
     /// Whether daemons may give each other room: in a large fleet, what all of them hold for a moment is more than
     /// the server bears at once, and only that most of it lapses keeps it within.
     pub fn may_lend(&self) -> bool {
-        self.keeps
+        self.accumulates
     }
 
     /// How many daemons of this one's cell hold room which they give to others; none where room lapses.
@@ -188,20 +188,20 @@
     }
 
     /// Notes that a request goes there, whether there was room for it or not.
-    pub fn take(&mut self) {
+    pub fn use_one(&mut self) {
         self.quota = self.quota.map(|quota| quota - 1.0);
     }
 
     /// Notes that a request for which room was taken does not go there.
-    pub fn give_back(&mut self) {
+    pub fn return_one(&mut self) {
         self.quota = self.quota.map(|quota| quota + 1.0);
     }
 
     /// What other daemons should hear of it.
-    pub fn for_peers(&self, now: Instant) -> Option<Said> {
-        let over = |at: Instant| now.saturating_duration_since(at) < ENDED;
+    pub fn for_peers(&self, now: Instant) -> Option<LimitReport> {
+        let over = |at: Instant| now.saturating_duration_since(at) < ENDED_REPORT_TIME;
         let matters = self.rate.is_some() || self.ended.is_some_and(over);
-        let said = self.said.filter(|_| matters)?;
-        Some(Said { rate: self.rate, age_ms: millis_between(said, now) })
+        let said = self.reported_at.filter(|_| matters)?;
+        Some(LimitReport { rate: self.rate, age_ms: millis_between(said, now) })
     }
 }
--- a/src/gateway/limited.rs
+++ b/src/gateway/limited.rs
@@ -40,23 +40,23 @@
         let near = budget.near();
         let share = |server: Tag| {
             let (daemons, place) = (near.count(), near.place(server));
-            let cell = CellShare { fraction: cell_fraction, daemons, place };
+            let cell = CellShare { fraction: cell_fraction, daemons, position: place };
             Share { fraction, phase: rank.phase(server), cell }
         };
-        servers.settle_limits(service, share, now);
+        servers.update_quotas(service, share, now);
         drop(budget);
         let limited = servers.limited(service).filter(|(key, server)| may_take(*key, server));
         limited.fold(None, |quota: Option<Quota>, (_, server)| {
             let (limit, mut quota) = (server.limit(), quota.unwrap_or_default());
             quota.now += limit.quota().unwrap_or_default().max(0.0).floor();
-            quota.pace += limit.pace() * fraction;
-            quota.all += limit.pace();
+            quota.refill_rate += limit.refill_rate() * fraction;
+            quota.total_rate += limit.refill_rate();
             Some(quota)
         })
     }
 
     /// Whether a request of such a standing may use the room at servers in need.
-    pub(super) fn may_use(
+    pub(super) fn may_use_quota(
         &self,
         quota: Quota,
         service: &Arc<str>,
@@ -73,11 +73,16 @@
     }
 
     /// A request takes room at a server in need.
-    pub(super) fn redeem(&self, service: &Arc<str>, admission_class: AdmissionClass, now: Instant) {
+    pub(super) fn fulfill_promise(
+        &self,
+        service: &Arc<str>,
+        admission_class: AdmissionClass,
+        now: Instant,
+    ) {
         if admission_class == AdmissionClass::Returned
             && let Some(promises) = self.promises().get_mut(service)
         {
-            promises.redeem(now);
+            promises.fulfill_promise(now);
         }
     }
 
@@ -92,7 +97,7 @@
         let demand = self.budget().rate(service, now);
         let mut promises = self.promises();
         let promises = promises.entry(service.clone()).or_default();
-        let back = promises.come_back(quota, demand, call.left(now), now);
+        let back = promises.retry_advice(quota, demand, call.left(now), now);
         NoSlot { why: SERVERS_IN_NEED, come_back: back.after, due: back.due }
     }
 
@@ -114,7 +119,7 @@
             let holders = server.limit().holders();
             if holders > 0 && may_take(key, server) {
                 wanted.push(Wanted { server: server.tag(), holders });
-                pace += server.limit().pace();
+                pace += server.limit().refill_rate();
             }
         }
         let few_hold = wanted.iter().any(|wanted| wanted.holders < daemons);
@@ -125,7 +130,7 @@
         };
         let given = hearing.borrow_quota(wanted).await;
         if let Some(server) = given {
-            self.servers().borrowed(server);
+            self.servers().add_borrowed_quota(server);
         }
         given.is_some()
     }
@@ -134,9 +139,9 @@
     /// promised it.
     pub(super) fn lend_quota(&self, wanted: &[Tag], now: Instant) -> Option<Tag> {
         let mut servers = self.servers();
-        let service = servers.tagged(*wanted.first()?)?.record.service.clone();
+        let service = servers.get_by_tag(*wanted.first()?)?.record.service.clone();
         let quota = self.limited_quota(&mut servers, &service, |_, _| true, now)?;
-        match self.may_use(quota, &service, AdmissionClass::Newcomer, now) {
+        match self.may_use_quota(quota, &service, AdmissionClass::Newcomer, now) {
             true => servers.lend(wanted),
             false => None,
         }
@@ -144,6 +149,6 @@
 
     /// Keeps room for a caller that is told to come back then.
     pub(super) fn reserve_quota(&self, service: &Arc<str>, due: Instant) {
-        self.promises().entry(service.clone()).or_default().keep(due);
+        self.promises().entry(service.clone()).or_default().reserve(due);
     }
 }
--- a/src/gateway/mirror/enforce.rs
+++ b/src/gateway/mirror/enforce.rs
@@ -114,7 +114,7 @@
         state.missing.remove(key);
         let why = self.schema.server(key, value).err().map_or_else(String::new, |e| e.0);
         warn!(key = key, why = why.as_str(); "backend server's entry not readable: it names no server to use");
-        self.gateway.servers().hide(self.id(key));
+        self.gateway.servers().mark_unreadable(self.id(key));
     }
 
     fn server_gone(&self, state: &mut State, key: &str, now: Instant) {
--- a/src/gateway/mirror/retained.rs
+++ b/src/gateway/mirror/retained.rs
@@ -76,7 +76,9 @@
         }
         match (stands, content) {
             (Content::Deleted, Content::Server(_)) => true,
-            (Content::Server(stands), Content::Server(other)) => other.born < stands.born,
+            (Content::Server(stands), Content::Server(other)) => {
+                other.started_ms < stands.started_ms
+            }
             // Servers that live write again soon, and are waited for so long.
             _ => false,
         }
--- a/src/gateway/moving.rs
+++ b/src/gateway/moving.rs
@@ -82,7 +82,7 @@
         }
     };
     // Copies may have taken a second, and a run that has stopped must go on somewhere.
-    if !gateway.servers().may_follow(slot.key(), time::now()) {
+    if !gateway.servers().accepts_in_flight(slot.key(), time::now()) {
         return Moved::Stays("target_rests");
     }
     // Only what goes on elsewhere is a repeat, and other runs may have spent the last one meanwhile.
@@ -130,7 +130,7 @@
     };
     let (mut since, mut before) = (time::now(), u32::MAX);
     loop {
-        let ahead = gateway.ahead(source.key, time::now()).once;
+        let ahead = gateway.ahead(source.key, time::now()).non_repeatable;
         if ahead < before {
             (since, before) = (time::now(), ahead);
         }
@@ -177,7 +177,7 @@
             tries += 1;
             let (asked, target) = (time::now(), self.to.place.to.addr);
             let answer = self.gateway.wire.copy(self.from.to.addr, self.run, target, last).await;
-            self.gateway.hear(self.from.key, &answer.remarks, asked);
+            self.gateway.handle_remarks(self.from.key, &answer.remarks, asked);
             match answer.outcome {
                 Err(NotCopied::Busy | NotCopied::NoRun) if tries < MOST_TRIES => sleep(AGAIN).await,
                 copied => break copied,
--- a/src/gateway/outcomes.rs
+++ b/src/gateway/outcomes.rs
@@ -10,7 +10,7 @@
 const HALF_LIFE: Duration = Duration::from_millis(2_500);
 /// Sound exchanges that are assumed of every server besides those seen: one failure by itself makes
 /// a server half as trusted, not useless.
-const ASSUMED_SOUND: f32 = 1.0;
+const ASSUMED_SUCCESSES: f32 = 1.0;
 /// Failures below which other daemons need not hear of a server: one that is over four half-lives old.
 const REPORTED_FAILURES: f32 = 0.05;
 
@@ -33,39 +33,39 @@
 impl Outcomes {
     /// Share of failures to expect.
     pub fn failure_rate(self) -> f64 {
-        f64::from(self.failed / (self.tried + ASSUMED_SOUND))
+        f64::from(self.failed / (self.tried + ASSUMED_SUCCESSES))
     }
 
     /// Whether other daemons should hear of them.
-    pub fn matter(self) -> bool {
+    pub fn is_reportable(self) -> bool {
         self.failed >= REPORTED_FAILURES
     }
 }
 
 /// This daemon's own outcomes at one server.
 #[derive(Debug, Clone, Copy)]
-pub struct Fading {
+pub struct DecayingOutcomes {
     outcomes: Outcomes,
     /// The moment for which they hold.
     at: Instant,
 }
 
-impl Fading {
+impl DecayingOutcomes {
     /// None yet.
-    pub fn new(now: Instant) -> Fading {
-        Fading { outcomes: Outcomes::default(), at: now }
+    pub fn new(now: Instant) -> DecayingOutcomes {
+        DecayingOutcomes { outcomes: Outcomes::default(), at: now }
     }
 
     /// As they count now.
-    pub fn at(&self, now: Instant) -> Outcomes {
+    pub fn decayed(&self, now: Instant) -> Outcomes {
         let elapsed = now.saturating_duration_since(self.at);
         let left = 0.5f32.powf(elapsed.as_secs_f32() / HALF_LIFE.as_secs_f32());
         Outcomes { tried: self.outcomes.tried * left, failed: self.outcomes.failed * left }
     }
 
     /// Notes one more exchange.
-    pub fn note(&mut self, failed: bool, now: Instant) {
-        let mut outcomes = self.at(now);
+    pub fn record(&mut self, failed: bool, now: Instant) {
+        let mut outcomes = self.decayed(now);
         outcomes += Outcomes { tried: 1.0, failed: if failed { 1.0 } else { 0.0 } };
         (self.outcomes, self.at) = (outcomes, now);
     }
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -57,7 +57,7 @@
 impl PlacementRequest<'_> {
     /// Whether a run is to be copied, rather than a request sent.
     fn is_copy(&self) -> bool {
-        self.load.arriving > 0
+        self.load.incoming_copies > 0
     }
 }
 
@@ -171,7 +171,7 @@
 fn share(load: Load, engine: &Engine) -> f64 {
     f64::from(load.tokens) / f64::from(engine.memory.max(1))
         + f64::from(load.runs) / BATCH_SCALE
-        + f64::from(load.reading) / READ_SCALE
+        + f64::from(load.unread_prompt) / READ_SCALE
 }
 
 /// Cost of a server for a newcomer, as a share of a full one.
@@ -184,7 +184,7 @@
         None => f64::from(load.runs) / f64::from(server.record.slots.max(1)),
     };
     let used = if request.is_copy() {
-        used.max(ROOMY) + f64::from(load.arriving) / ARRIVING_SCALE
+        used.max(ROOMY) + f64::from(load.incoming_copies) / ARRIVING_SCALE
     } else {
         used
     };
--- a/src/gateway/regions.rs
+++ b/src/gateway/regions.rs
@@ -21,7 +21,7 @@
 
 /// Where one request may go.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Allowed<'a> {
+pub(crate) struct AllowedRegions<'a> {
     pub(crate) regions: &'a Regions,
     /// The regions of its route.
     pub(crate) route: &'a Homes,
@@ -29,9 +29,9 @@
     pub(crate) workspace: Option<&'a Homes>,
 }
 
-impl Allowed<'_> {
+impl AllowedRegions<'_> {
     /// Whether it may go to a hall. One whose region isn't known is in no region.
-    pub(crate) fn has(&self, hall: &str) -> bool {
+    pub(crate) fn includes(&self, hall: &str) -> bool {
         let region = self.regions.of(hall);
         self.route.allow(region) && self.workspace.is_none_or(|homes| homes.allow(region))
     }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -66,7 +66,7 @@
         Step::Event(event) => event,
         Step::Ended | Step::Broke(_) => {
             slot.judge(true);
-            gateway.suspect(call, &slot, Run::Unseen).await;
+            gateway.handle_lost_run(call, &slot, Run::Unseen).await;
             return Sent::Failed(None, "no_event");
         }
     };
@@ -168,7 +168,7 @@
         match end {
             End::Complete => {
                 let ms = time::since(self.call.arrived).as_millis() as u64;
-                self.gateway.has_survived(&self.call);
+                self.gateway.note_survived(&self.call);
                 info!(id = id, server = server, last = self.last, ms = ms; "stream complete");
             }
             End::CallerLeft => info!(id = id, server = server, last = self.last; "caller left"),
@@ -231,7 +231,7 @@
                         moving = None;
                         if self.is_young(time::now()) {
                             let run = self.began.map_or(Run::Unseen, |_| Run::Begun);
-                            self.gateway.suspect(&self.call, &self.slot, run).await;
+                            self.gateway.handle_lost_run(&self.call, &self.slot, run).await;
                         }
                         self.run_again(why).await
                     }
@@ -249,7 +249,7 @@
         self.began.get_or_insert(now);
         if !self.survived && !self.is_young(now) {
             self.survived = true;
-            self.gateway.has_survived(&self.call);
+            self.gateway.note_survived(&self.call);
         }
         if event.id.is_some() && event.id <= self.last {
             return Ok(());
@@ -291,7 +291,7 @@
         let asked = time::now();
         let made = match self.gateway.wire.report(server, LOOK_LIMIT).await {
             Ok(report) => {
-                self.gateway.hear(self.slot.key(), &report.remarks, asked);
+                self.gateway.handle_remarks(self.slot.key(), &report.remarks, asked);
                 report.runs.get(run).copied()
             }
             Err(why) => {
@@ -372,7 +372,7 @@
         }
         // Nothing more is sent to a hall that was closed a while ago or to a server that rests, not even what ran
         // there.
-        let may_follow = self.gateway.servers().may_follow(key, now);
+        let may_follow = self.gateway.servers().accepts_in_flight(key, now);
         let reopened = match may_follow {
             true => reopen(&self.gateway, &self.call, key, sending).await,
             false => Err("its hall is closed, or it rests".into()),
--- a/src/gateway/remarks.rs
+++ b/src/gateway/remarks.rs
@@ -19,9 +19,9 @@
 
 impl Gateway {
     /// Takes in what an answer to something that was sent at `asked` says of its server.
-    pub(crate) fn hear(&self, server: ServerKey, remarks: &Remarks, asked: Instant) {
+    pub(crate) fn handle_remarks(&self, server: ServerKey, remarks: &Remarks, asked: Instant) {
         let now = time::now();
-        let new = self.servers().hear(server, remarks, asked, now);
+        let new = self.servers().handle_remarks(server, remarks, asked, now);
         if new == NewRemarks::default() {
             return;
         }
@@ -57,7 +57,7 @@
         now: Instant,
     ) -> NoSlot {
         let allowed = self.allowed(call);
-        let may_serve = |server: &Server| allowed.has(&server.record.hall);
+        let may_serve = |server: &Server| allowed.includes(&server.record.hall);
         let Some(Backoffs { first: Some(left), all }) =
             servers.backoffs(&service.name, may_serve, now)
         else {
@@ -72,7 +72,7 @@
     }
 
     /// Writes a line where a request goes to a server that has said something of itself.
-    pub(crate) fn log_remarked(&self, call: &Call, server: ServerKey, now: Instant) {
+    pub(crate) fn log_server_remarks(&self, call: &Call, server: ServerKey, now: Instant) {
         let Some((id, condition)) =
             self.servers().get(server).map(|s| (s.record.id.clone(), s.condition))
         else {
@@ -84,12 +84,12 @@
             info!(id = request, server = &*id, per_second = rate; "sent to a server in need");
             self.metrics.limited_sendings.inc();
         }
-        if let Some(at) = condition.leaving() {
+        if let Some(at) = condition.leaving_since() {
             info!(id = request, server = &*id, told_ms = since(at); "sent to a server that leaves");
             self.metrics.unheeded_sendings.with_label_values(&["leaving"]).inc();
         }
         if let Some(rest) = condition.backoff(now) {
-            info!(id = request, server = &*id, told_ms = since(rest.asked); "sent to a server that rests");
+            info!(id = request, server = &*id, told_ms = since(rest.requested_at); "sent to a server that rests");
             self.metrics.unheeded_sendings.with_label_values(&["rest"]).inc();
         }
     }
--- a/src/gateway/rollout/controller.rs
+++ b/src/gateway/rollout/controller.rs
@@ -114,7 +114,7 @@
             match *server.record.version == *version {
                 true => {
                     census.candidates += 1;
-                    if server.open() && !is_cold(server) {
+                    if server.is_open() && !is_cold(server) {
                         candidate.push((server.tag(), key));
                     }
                 }
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -1,11 +1,11 @@
 //! One backend server as this daemon knows it.
 
-use crate::gateway::cold::{Sendings, WarmUp};
+use crate::gateway::cold::{RecentRequests, WarmUp};
 use crate::gateway::condition::Condition;
 use crate::gateway::limit::Limit;
-use crate::gateway::outcomes::{Fading, Outcomes};
+use crate::gateway::outcomes::{DecayingOutcomes, Outcomes};
 use crate::gateway::port::Destination;
-use crate::gateway::reach::Reach;
+use crate::gateway::reach::Reachability;
 use crate::gateway::request::Size;
 use crate::gateway::tag::Tag;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 use tokio::sync::watch;
 
 /// Exchanges, older ones as parts of one, below which a daemon has nothing to tell of a server.
-const LEAST_TRIED: f32 = 0.01;
+const MIN_REPORTED_ATTEMPTS: f32 = 0.01;
 
 /// What the store says of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -24,7 +24,7 @@
     pub id: Arc<str>,
     /// When it started, in milliseconds of the server's own time of day, which tells starts under one id
     /// apart; `None` where servers don't say.
-    pub born: Option<u64>,
+    pub started_ms: Option<u64>,
     /// Its service.
     pub service: Arc<str>,
     /// The version of its software.
@@ -46,7 +46,7 @@
     /// reach it.
     pub(super) fn tag(&self) -> Tag {
         let id = Tag::of(&self.id);
-        self.born.map_or(id, |born| id.combined_with(Tag::of_number(born)))
+        self.started_ms.map_or(id, |born| id.combined_with(Tag::of_number(born)))
     }
 }
 
@@ -58,12 +58,12 @@
     /// Memory they are expected to need, in tokens.
     pub tokens: u32,
     /// Tokens of prompts that are still to be read.
-    pub reading: u32,
+    pub unread_prompt: u32,
     /// The part of `tokens` that belongs to runs which may not run again: they have to be moved
     /// before their server goes.
-    pub once: u32,
+    pub non_repeatable: u32,
     /// Tokens of runs that are being copied to the server, over its link.
-    pub arriving: u32,
+    pub incoming_copies: u32,
 }
 
 impl Load {
@@ -71,7 +71,13 @@
     pub fn of(size: Size, repeatable: bool) -> Load {
         let tokens = size.tokens().max(1);
         let once = if repeatable { 0 } else { tokens };
-        Load { runs: 1, tokens, reading: size.prompt, once, arriving: 0 }
+        Load {
+            runs: 1,
+            tokens,
+            unread_prompt: size.prompt,
+            non_repeatable: once,
+            incoming_copies: 0,
+        }
     }
 }
 
@@ -79,9 +85,9 @@
     fn add_assign(&mut self, other: Load) {
         self.runs += other.runs;
         self.tokens = self.tokens.saturating_add(other.tokens);
-        self.reading = self.reading.saturating_add(other.reading);
-        self.once = self.once.saturating_add(other.once);
-        self.arriving = self.arriving.saturating_add(other.arriving);
+        self.unread_prompt = self.unread_prompt.saturating_add(other.unread_prompt);
+        self.non_repeatable = self.non_repeatable.saturating_add(other.non_repeatable);
+        self.incoming_copies = self.incoming_copies.saturating_add(other.incoming_copies);
     }
 }
 
@@ -89,9 +95,9 @@
     fn sub_assign(&mut self, other: Load) {
         self.runs -= other.runs;
         self.tokens -= other.tokens;
-        self.reading -= other.reading;
-        self.once -= other.once;
-        self.arriving -= other.arriving;
+        self.unread_prompt -= other.unread_prompt;
+        self.non_repeatable -= other.non_repeatable;
+        self.incoming_copies -= other.incoming_copies;
     }
 }
 
@@ -103,22 +109,22 @@
     /// The tag of its start.
     pub(super) tag: Tag,
     /// Whether the store's entry of it can be read, so that it names a server to use.
-    pub(super) named: bool,
+    pub(super) readable: bool,
     /// Whether it counts as leaving only because the store no longer lists it.
     pub(super) unlisted: bool,
     /// Whether it counts as leaving only because a roll-out takes its version out of use.
     retired: bool,
     /// What this daemon has there.
-    pub own: Load,
+    pub own_load: Load,
     /// What the other daemons said they have there.
-    pub others: Load,
+    pub peer_load: Load,
     /// Turns true when the server is about to leave or has gone.
     pub(super) leaving: watch::Sender<bool>,
     /// How this daemon's recent exchanges with it went.
-    pub(super) outcomes: Fading,
+    pub(super) outcomes: DecayingOutcomes,
     /// How those of the other daemons went, as they said.
-    pub(super) others_outcomes: Outcomes,
-    pub(super) reach: Reach,
+    pub(super) peer_outcomes: Outcomes,
+    pub(super) reach: Reachability,
     /// Since when it is treated as leaving only because it is not well.
     pub(super) suspected: Option<Instant>,
     /// When it was last found not to leave although its health check said it was not well.
@@ -126,7 +132,7 @@
     /// What it has said of itself.
     pub(super) condition: Condition,
     /// What this daemon sent it lately while it was cold.
-    pub(super) sendings: Sendings,
+    pub(super) cold_requests: RecentRequests,
 }
 
 impl Server {
@@ -136,26 +142,26 @@
         let mut condition = Condition::default();
         condition.cold.reported(record.cold, now);
         if record.leaving {
-            condition.leaves(now);
+            condition.mark_leaving(now);
         }
         let none = Load::default();
         let (own, others) = (none, none);
         Server {
             record,
             tag,
-            named: true,
+            readable: true,
             unlisted: false,
             retired: false,
-            own,
-            others,
+            own_load: own,
+            peer_load: others,
             leaving,
-            outcomes: Fading::new(now),
-            others_outcomes: Outcomes::default(),
-            reach: Reach::default(),
+            outcomes: DecayingOutcomes::new(now),
+            peer_outcomes: Outcomes::default(),
+            reach: Reachability::default(),
             suspected: None,
             cleared: None,
             condition,
-            sendings: Sendings::default(),
+            cold_requests: RecentRequests::default(),
         }
     }
 
@@ -165,8 +171,8 @@
     }
 
     /// Whether new work may go there, as far as the server itself is concerned.
-    pub fn open(&self) -> bool {
-        self.named && !*self.leaving.borrow()
+    pub fn is_open(&self) -> bool {
+        self.readable && !*self.leaving.borrow()
     }
 
     /// Tag of this start of it.
@@ -176,12 +182,12 @@
 
     /// Whether it is cold, or may be, where servers of its service warm up like that.
     pub fn is_cold(&self, warm_up: WarmUp, now: Instant) -> bool {
-        self.condition.cold.holds(warm_up, now)
+        self.condition.cold.is_cold(warm_up, now)
     }
 
     /// Requests that this daemon sent it while it was cold, within the last second.
-    pub fn cold_sendings(&self, now: Instant) -> usize {
-        self.sendings.count(now)
+    pub fn recent_cold_requests(&self, now: Instant) -> usize {
+        self.cold_requests.count(now)
     }
 
     /// What it takes from all daemons together, and what this one may send.
@@ -201,21 +207,21 @@
 
     /// All that is known to run there.
     pub fn load(&self) -> Load {
-        let mut load = self.own;
-        load += self.others;
+        let mut load = self.own_load;
+        load += self.peer_load;
         load
     }
 
     /// Share of recent exchanges that failed, of all daemons, fading with time.
     pub fn failure_rate(&self, now: Instant) -> f64 {
-        let mut all = self.outcomes.at(now);
-        all += self.others_outcomes;
+        let mut all = self.outcomes.decayed(now);
+        all += self.peer_outcomes;
         all.failure_rate()
     }
 
     /// Whether it is passed over because it could not be reached lately.
-    pub fn is_passed_over(&self, now: Instant) -> bool {
-        self.reach.is_passed_over(now)
+    pub fn is_skipped(&self, now: Instant) -> bool {
+        self.reach.is_skipped(now)
     }
 
     /// Whether it leaves, and not only may, or takes no work for another reason.
@@ -224,7 +230,7 @@
     }
 
     /// Whether it leaves, and other daemons can't know it from the store.
-    pub(super) fn leaves_untold(&self) -> bool {
+    pub(super) fn leaving_not_in_store(&self) -> bool {
         self.is_known_to_leave() && !self.record.leaving
     }
 
@@ -240,20 +246,20 @@
 
     /// Whether this daemon has anything to tell others of it.
     pub(super) fn has_unreported(&self, now: Instant) -> bool {
-        self.own.runs > 0
-            || self.outcomes.at(now).tried >= LEAST_TRIED
-            || self.others_outcomes.matter()
-            || self.leaves_untold()
+        self.own_load.runs > 0
+            || self.outcomes.decayed(now).tried >= MIN_REPORTED_ATTEMPTS
+            || self.peer_outcomes.is_reportable()
+            || self.leaving_not_in_store()
             || self.reach.for_peers(now).is_some()
             || self.condition.limit.for_peers(now).is_some()
     }
 
     /// It leaves, which is never taken back. Says whether that is new.
-    pub(super) fn leaves(&mut self, now: Instant) -> bool {
+    pub(super) fn mark_leaving(&mut self, now: Instant) -> bool {
         self.suspected = None;
         (self.unlisted, self.retired) = (false, false);
         self.leaving.send_replace(true);
-        self.condition.leaves(now)
+        self.condition.mark_leaving(now)
     }
 
     /// The store no longer lists it: it may serve on for a while, or have gone.
@@ -271,29 +277,29 @@
     }
 
     /// It was listed before, and what it said of itself then still holds.
-    pub(super) fn resume(&mut self, condition: Condition, now: Instant) {
+    pub(super) fn restore(&mut self, condition: Condition, now: Instant) {
         self.condition = condition;
         self.condition.cold.reported(self.record.cold, now);
-        if self.record.leaving || condition.leaving().is_some() {
-            self.leaves(now);
+        if self.record.leaving || condition.leaving_since().is_some() {
+            self.mark_leaving(now);
         }
     }
 
     /// Takes in what the store says of the same start of it.
     pub(super) fn update(&mut self, record: ServerRecord, now: Instant) {
         if record.leaving {
-            self.leaves(now);
+            self.mark_leaving(now);
         }
         self.condition.cold.reported(record.cold, now);
-        self.named = true;
+        self.readable = true;
         self.record = record;
     }
 
-    pub(super) fn judge(&mut self, failed: bool, now: Instant) {
+    pub(super) fn record_outcome(&mut self, failed: bool, now: Instant) {
         if !failed {
-            self.reach.hit();
-            self.condition.cold.reached(now);
+            self.reach.answered();
+            self.condition.cold.note_answer(now);
         }
-        self.outcomes.note(failed, now);
+        self.outcomes.record(failed, now);
     }
 }
--- a/src/gateway/servers.rs
+++ b/src/gateway/servers.rs
@@ -7,8 +7,8 @@
 mod remarks;
 
 use crate::gateway::fingerprint::Fingerprint;
-use crate::gateway::halls::Halls;
-use crate::gateway::limit::Said;
+use crate::gateway::halls::ClosedHalls;
+use crate::gateway::limit::LimitReport;
 use crate::gateway::outcomes::Outcomes;
 use crate::gateway::port::Destination;
 use crate::gateway::quarantine::Evidence;
@@ -37,7 +37,7 @@
     /// Servers that refuse connections, and for how many milliseconds they are still passed over.
     pub refusing: Vec<(Tag, u32)>,
     /// What servers lately said of the requests a second that they take.
-    pub limits: Vec<(Tag, Said)>,
+    pub limits: Vec<(Tag, LimitReport)>,
 }
 
 /// Sums of what the other daemons told of servers, and of requests under which servers ended.
@@ -55,7 +55,7 @@
 
 /// A server that is asked about itself.
 #[derive(Debug, Clone)]
-pub struct Watched {
+pub struct HealthCheckTarget {
     /// The server.
     pub key: ServerKey,
     /// Where it is.
@@ -78,7 +78,7 @@
     index: Index,
     /// Servers of which this daemon may have something to tell: what is told of a fleet's servers costs
     /// as much as this daemon uses, not as much as there are.
-    noted: HashSet<ServerKey>,
+    reportable: HashSet<ServerKey>,
     /// Servers of which others told something, as of the last time.
     reported: Vec<ServerKey>,
     /// Servers that the store no longer lists and that still have runs of this daemon.
@@ -88,7 +88,7 @@
     /// Servers that have asked this daemon for rest.
     backing_off: HashSet<ServerKey>,
     past: Past,
-    halls: Halls,
+    halls: ClosedHalls,
     /// Servers of each service that get nothing more, by version.
     retired: HashMap<Arc<str>, Retired>,
 }
@@ -98,7 +98,7 @@
     /// start under its id is another server, which has and knows nothing of the one before.
     pub fn upsert(&mut self, record: ServerRecord, now: Instant) {
         let known = self.by_id.get(&record.id).copied();
-        match known.filter(|key| self.arena[*key].record.born == record.born) {
+        match known.filter(|key| self.arena[*key].record.started_ms == record.started_ms) {
             Some(key) => {
                 let before = &self.arena[key].record;
                 if (&before.service, &before.hall) != (&record.service, &record.hall) {
@@ -106,7 +106,7 @@
                     self.index.add(&record, key);
                 }
                 self.arena[key].update(record, now);
-                self.settle_retired(key);
+                self.update_retired(key);
             }
             None => {
                 self.remove(&record.id.clone());
@@ -126,11 +126,11 @@
             None => self.retired.remove(service),
         };
         let keys: Vec<ServerKey> = self.listed(service).map(|(key, _)| key).collect();
-        keys.into_iter().for_each(|key| self.settle_retired(key));
+        keys.into_iter().for_each(|key| self.update_retired(key));
         true
     }
 
-    fn settle_retired(&mut self, key: ServerKey) {
+    fn update_retired(&mut self, key: ServerKey) {
         let server = &mut self.arena[key];
         let retired = self.retired.get(&server.record.service);
         server.set_retired(retired.is_some_and(|r| r.includes(&server.record.version)));
@@ -148,14 +148,14 @@
     }
 
     /// Servers of a service drawn by chance, so many of `hall` and as many of all others. Some may come twice.
-    pub fn draw<'a>(
+    pub fn sample<'a>(
         &'a self,
         service: &'a str,
         hall: &'a str,
         count: usize,
         rng: &mut impl rand::Rng,
     ) -> Vec<(ServerKey, &'a Server)> {
-        let keys = self.index.draw(service, hall, count, rng);
+        let keys = self.index.sample(service, hall, count, rng);
         keys.into_iter().map(|key| (key, &self.arena[key])).collect()
     }
 
@@ -163,7 +163,9 @@
     /// before is still known: its entry had lapsed.
     fn add(&mut self, record: ServerRecord, now: Instant) {
         let id = record.id.clone();
-        let is_it = |server: &Server| server.record.id == id && server.record.born == record.born;
+        let is_it = |server: &Server| {
+            server.record.id == id && server.record.started_ms == record.started_ms
+        };
         let known = self.unlisted.iter().position(|key| is_it(&self.arena[*key]));
         let key = match known.map(|at| self.unlisted.swap_remove(at)) {
             Some(key) => {
@@ -171,24 +173,24 @@
                 self.arena[key].update(record, now);
                 key
             }
-            None => self.insert_again(record, now),
+            None => self.insert_with_past(record, now),
         };
         self.by_id.insert(id, key);
         self.index.add(&self.arena[key].record, key);
-        self.settle_retired(key);
+        self.update_retired(key);
     }
 
     /// Inserts a start of a server, with what it said of itself where it was listed before.
-    fn insert_again(&mut self, record: ServerRecord, now: Instant) -> ServerKey {
+    fn insert_with_past(&mut self, record: ServerRecord, now: Instant) -> ServerKey {
         let mut server = Server::new(record, now);
         let past = self.past.take(server.tag);
         if let Some(condition) = past {
-            server.resume(condition, now);
+            server.restore(condition, now);
         }
         let key = self.insert(server);
         if past.is_some() {
-            self.noted.insert(key);
-            self.note_limit(key, now);
+            self.reportable.insert(key);
+            self.refresh_limited(key, now);
             self.backing_off.insert(key);
         }
         key
@@ -204,7 +206,7 @@
     fn forget(&mut self, key: ServerKey) {
         if let Some(server) = self.arena.remove(key) {
             self.by_tag.remove(&server.tag);
-            self.noted.remove(&key);
+            self.reportable.remove(&key);
             self.limited.remove(&key);
             self.past.keep(server.tag, server.condition);
         }
@@ -217,10 +219,11 @@
     }
 
     /// Drops servers of which there is nothing to tell any more, and rests that are over.
-    pub fn tidy(&mut self, now: Instant) {
+    pub fn prune(&mut self, now: Instant) {
         self.end_backoffs(now);
         let arena = &self.arena;
-        self.noted.retain(|key| arena.get(*key).is_some_and(|server| server.has_unreported(now)));
+        self.reportable
+            .retain(|key| arena.get(*key).is_some_and(|server| server.has_unreported(now)));
     }
 
     /// The store no longer lists a server: what runs there goes on, nothing new is sent.
@@ -230,7 +233,7 @@
         };
         self.index.remove(&self.arena[key].record, key);
         self.arena[key].unlist();
-        match self.arena[key].own.runs {
+        match self.arena[key].own_load.runs {
             0 => self.forget(key),
             _ => self.unlisted.push(key),
         }
@@ -238,9 +241,9 @@
 
     /// The store's entry of a server can't be read: it names no server to use until it can. What runs
     /// there goes on.
-    pub fn hide(&mut self, id: &str) {
+    pub fn mark_unreadable(&mut self, id: &str) {
         if let Some(key) = self.by_id.get(id) {
-            self.arena[*key].named = false;
+            self.arena[*key].readable = false;
         }
     }
 
@@ -255,40 +258,40 @@
             return;
         }
         for server in self.arena.values_mut().filter(|s| s.record.hall == hall) {
-            server.condition.cold.started(now);
+            server.condition.cold.note_started(now);
         }
     }
 
     /// Whether work that is under way may still be sent to a server: its hall is not closed, or has just
     /// been closed, and it doesn't rest.
-    pub fn may_follow(&self, key: ServerKey, now: Instant) -> bool {
+    pub fn accepts_in_flight(&self, key: ServerKey, now: Instant) -> bool {
         self.arena.get(key).is_some_and(|server| {
-            self.halls.may_follow(&server.record.hall, now) && !server.is_backing_off(now)
+            self.halls.accepts_in_flight(&server.record.hall, now) && !server.is_backing_off(now)
         })
     }
 
     /// The server is about to leave or has gone, by its own word or because another one answers at
     /// its address. Says whether that is new.
-    pub fn leaves(&mut self, key: ServerKey, now: Instant) -> bool {
+    pub fn mark_leaving(&mut self, key: ServerKey, now: Instant) -> bool {
         let Some(server) = self.arena.get_mut(key) else {
             return false;
         };
-        self.noted.insert(key);
-        server.leaves(now)
+        self.reportable.insert(key);
+        server.mark_leaving(now)
     }
 
     /// The server is not well, which it is as well when it is about to leave: it is treated as
     /// leaving until its report says otherwise.
     pub fn suspect(&mut self, key: ServerKey, now: Instant) {
-        if let Some(server) = self.arena.get_mut(key).filter(|s| s.open()) {
+        if let Some(server) = self.arena.get_mut(key).filter(|s| s.is_open()) {
             server.suspected = Some(now);
             server.leaving.send_replace(true);
-            self.noted.insert(key);
+            self.reportable.insert(key);
         }
     }
 
     /// A server that was suspected does not leave.
-    pub fn trust(&mut self, key: ServerKey, now: Instant) {
+    pub fn clear_suspicion(&mut self, key: ServerKey, now: Instant) {
         if let Some(server) = self.arena.get_mut(key).filter(|s| s.suspected.is_some()) {
             server.suspected = None;
             server.cleared = Some(now);
@@ -297,31 +300,31 @@
     }
 
     /// A connection to the server did not come about; `refused` says whether nothing listens there.
-    pub fn not_reached(&mut self, key: ServerKey, refused: bool, now: Instant) {
+    pub fn note_unreachable(&mut self, key: ServerKey, refused: bool, now: Instant) {
         if let Some(server) = self.arena.get_mut(key) {
-            server.reach.miss(refused, now);
-            server.condition.cold.missed();
-            self.noted.insert(key);
+            server.reach.connect_failed(refused, now);
+            server.condition.cold.note_unreachable();
+            self.reportable.insert(key);
         }
     }
 
     /// Notes that a request goes to a server that is cold.
-    pub fn sends_cold(&mut self, key: ServerKey, now: Instant) {
+    pub fn note_cold_request(&mut self, key: ServerKey, now: Instant) {
         if let Some(server) = self.arena.get_mut(key) {
-            server.sendings.note(now);
+            server.cold_requests.record(now);
         }
     }
 
     /// What other daemons can't know from the store.
     pub fn observations(&self, now: Instant) -> Observations {
-        let listed = || self.noted().filter(|(key, _)| self.is_listed(*key)).map(|(_, s)| s);
-        let leaving = listed().filter(|s| s.leaves_untold()).map(|s| s.tag);
+        let listed = || self.reportable().filter(|(key, _)| self.is_listed(*key)).map(|(_, s)| s);
+        let leaving = listed().filter(|s| s.leaving_not_in_store()).map(|s| s.tag);
         let refusing = listed().filter(|s| !*s.leaving.borrow()).filter_map(|s| {
             let left = s.reach.for_peers(now)?;
             Some((s.tag, u32::try_from(left.as_millis()).unwrap_or(u32::MAX)))
         });
         let limits =
-            self.noted().filter_map(|(_, s)| Some((s.tag, s.condition.limit.for_peers(now)?)));
+            self.reportable().filter_map(|(_, s)| Some((s.tag, s.condition.limit.for_peers(now)?)));
         Observations {
             leaving: leaving.collect(),
             refusing: refusing.collect(),
@@ -339,44 +342,44 @@
     ) {
         let mut leaving = Vec::new();
         for tag in &signs.leaving {
-            if let Some((key, server)) = self.unsure(*tag) {
+            if let Some((key, server)) = self.not_known_to_leave(*tag) {
                 leaving.push(server.record.id.to_string());
-                server.leaves(now);
-                self.noted.insert(key);
+                server.mark_leaving(now);
+                self.reportable.insert(key);
             }
         }
         for (tag, left) in &signs.refusing {
-            if let (Some((key, server)), Some(sent)) = (self.unsure(*tag), sent) {
-                server.reach.refuses(sent + Duration::from_millis((*left).into()), now);
-                self.noted.insert(key);
+            if let (Some((key, server)), Some(sent)) = (self.not_known_to_leave(*tag), sent) {
+                server.reach.mark_refusing(sent + Duration::from_millis((*left).into()), now);
+                self.reportable.insert(key);
             }
         }
         if !leaving.is_empty() {
             info!(leaving_ids = leaving.join(",").as_str(); "a peer says that servers leave");
         }
         if let Some(sent) = sent {
-            self.take_limits(&signs.limits, sent, now);
+            self.merge_limits(&signs.limits, sent, now);
         }
     }
 
     /// A server that is not known to leave.
-    fn unsure(&mut self, tag: Tag) -> Option<(ServerKey, &mut Server)> {
-        let (key, server) = known(&self.by_tag, &mut self.arena, tag)?;
+    fn not_known_to_leave(&mut self, tag: Tag) -> Option<(ServerKey, &mut Server)> {
+        let (key, server) = get_by_tag_mut(&self.by_tag, &mut self.arena, tag)?;
         (!server.is_known_to_leave()).then_some((key, server))
     }
 
-    fn noted(&self) -> impl Iterator<Item = (ServerKey, &Server)> {
-        self.noted.iter().filter_map(|key| Some((*key, self.arena.get(*key)?)))
+    fn reportable(&self) -> impl Iterator<Item = (ServerKey, &Server)> {
+        self.reportable.iter().filter_map(|key| Some((*key, self.arena.get(*key)?)))
     }
 
     /// Servers that take new work and have runs of this daemon that may not run again, and those that
     /// are suspected; none that rests, which wants no questions either.
-    pub fn watched(&self, now: Instant) -> Vec<Watched> {
-        let has_runs = |s: &Server| s.open() && s.own.once > 0;
+    pub fn health_check_targets(&self, now: Instant) -> Vec<HealthCheckTarget> {
+        let has_runs = |s: &Server| s.is_open() && s.own_load.non_repeatable > 0;
         let matters = |s: &Server| (has_runs(s) || s.suspected.is_some()) && !s.is_backing_off(now);
         // Where it has runs or a suspicion, a server is noted.
-        let watched = self.noted().filter(|(_, s)| matters(s));
-        let watched = watched.map(|(key, s)| Watched {
+        let watched = self.reportable().filter(|(_, s)| matters(s));
+        let watched = watched.map(|(key, s)| HealthCheckTarget {
             key,
             to: s.destination(),
             service: s.record.service.clone(),
@@ -387,8 +390,8 @@
     }
 
     /// Whether there may be any such server soon.
-    pub fn is_watched(&self) -> bool {
-        self.noted().any(|(_, s)| s.own.once > 0 || s.suspected.is_some())
+    pub fn may_have_targets(&self) -> bool {
+        self.reportable().any(|(_, s)| s.own_load.non_repeatable > 0 || s.suspected.is_some())
     }
 
     /// A server by key; `None` once it has gone.
@@ -397,7 +400,7 @@
     }
 
     /// A server by the tag of its start.
-    pub fn tagged(&self, tag: Tag) -> Option<&Server> {
+    pub fn get_by_tag(&self, tag: Tag) -> Option<&Server> {
         self.arena.get(*self.by_tag.get(&tag)?)
     }
 
@@ -418,39 +421,39 @@
 
     /// Whether a server is one of a service and takes new work.
     pub fn is_open(&self, service: &str, server: &Server) -> bool {
-        let serves = server.open() && *server.record.service == *service;
+        let serves = server.is_open() && *server.record.service == *service;
         serves && !self.halls.is_closed(&server.record.hall)
     }
 
     /// Notes work that this daemon sends to a server.
-    pub fn begin(&mut self, key: ServerKey, load: Load) {
+    pub fn add_load(&mut self, key: ServerKey, load: Load) {
         if let Some(server) = self.arena.get_mut(key) {
-            server.own += load;
-            self.noted.insert(key);
+            server.own_load += load;
+            self.reportable.insert(key);
         }
     }
 
     /// Notes that a prompt has been read.
-    pub fn has_read(&mut self, key: ServerKey, tokens: u32) {
+    pub fn note_prompt_read(&mut self, key: ServerKey, tokens: u32) {
         if let Some(server) = self.arena.get_mut(key) {
-            server.own.reading -= tokens;
+            server.own_load.unread_prompt -= tokens;
         }
     }
 
     /// Notes that a run's memory has been copied there.
-    pub fn has_arrived(&mut self, key: ServerKey, tokens: u32) {
+    pub fn note_copy_arrived(&mut self, key: ServerKey, tokens: u32) {
         if let Some(server) = self.arena.get_mut(key) {
-            server.own.arriving -= tokens;
+            server.own_load.incoming_copies -= tokens;
         }
     }
 
     /// Notes that such work is over.
-    pub fn end(&mut self, key: ServerKey, load: Load) {
+    pub fn remove_load(&mut self, key: ServerKey, load: Load) {
         let Some(server) = self.arena.get_mut(key) else {
             return;
         };
-        server.own -= load;
-        if server.own.runs > 0 {
+        server.own_load -= load;
+        if server.own_load.runs > 0 {
             return;
         }
         if let Some(at) = self.unlisted.iter().position(|unlisted| *unlisted == key) {
@@ -460,52 +463,53 @@
     }
 
     /// Notes how an exchange with a server went.
-    pub fn judge(&mut self, key: ServerKey, failed: bool, now: Instant) {
+    pub fn record_outcome(&mut self, key: ServerKey, failed: bool, now: Instant) {
         if let Some(server) = self.arena.get_mut(key) {
-            server.judge(failed, now);
-            self.noted.insert(key);
+            server.record_outcome(failed, now);
+            self.reportable.insert(key);
         }
     }
 
     /// This daemon's load, for the others.
     pub fn own_loads(&self) -> Vec<(Tag, Load)> {
-        let loaded = self.noted().filter(|(_, s)| s.own.runs > 0);
-        loaded.map(|(_, s)| (s.tag, s.own)).collect()
+        let loaded = self.reportable().filter(|(_, s)| s.own_load.runs > 0);
+        loaded.map(|(_, s)| (s.tag, s.own_load)).collect()
     }
 
     /// How this daemon's exchanges went at servers where some failed, here or at another daemon: a
     /// failure that others don't see must be weighed against what they do see.
     pub fn own_outcomes(&self, now: Instant) -> Vec<(Tag, Outcomes)> {
-        let outcomes = self.noted().map(|(_, s)| (s, s.outcomes.at(now)));
-        let matter = outcomes.filter(|(s, own)| own.matter() || s.others_outcomes.matter());
+        let outcomes = self.reportable().map(|(_, s)| (s, s.outcomes.decayed(now)));
+        let matter =
+            outcomes.filter(|(s, own)| own.is_reportable() || s.peer_outcomes.is_reportable());
         matter.map(|(s, own)| (s.tag, own)).collect()
     }
 
     /// Sets what the other daemons have at each server and how their exchanges went. Servers that are
     /// not named have nothing of theirs.
-    pub fn set_others(&mut self, heard: &PeerStats) {
+    pub fn set_peer_stats(&mut self, heard: &PeerStats) {
         for key in std::mem::take(&mut self.reported) {
             if let Some(server) = self.arena.get_mut(key) {
-                (server.others, server.others_outcomes) = Default::default();
+                (server.peer_load, server.peer_outcomes) = Default::default();
             }
         }
         for (tag, load) in &heard.loads {
-            if let Some((key, server)) = known(&self.by_tag, &mut self.arena, *tag) {
-                server.others = *load;
+            if let Some((key, server)) = get_by_tag_mut(&self.by_tag, &mut self.arena, *tag) {
+                server.peer_load = *load;
                 self.reported.push(key);
             }
         }
         for (tag, outcomes) in &heard.outcomes {
-            if let Some((key, server)) = known(&self.by_tag, &mut self.arena, *tag) {
-                server.others_outcomes = *outcomes;
+            if let Some((key, server)) = get_by_tag_mut(&self.by_tag, &mut self.arena, *tag) {
+                server.peer_outcomes = *outcomes;
                 self.reported.push(key);
-                self.noted.insert(key);
+                self.reportable.insert(key);
             }
         }
     }
 }
 
-fn known<'a>(
+fn get_by_tag_mut<'a>(
     by_tag: &HashMap<Tag, ServerKey>,
     arena: &'a mut slotmap::SlotMap<ServerKey, Server>,
     tag: Tag,
--- a/src/gateway/servers/index.rs
+++ b/src/gateway/servers/index.rs
@@ -9,7 +9,7 @@
 
 /// The servers of one service in one hall.
 #[derive(Debug)]
-struct Row {
+struct HallServers {
     hall: String,
     keys: Vec<ServerKey>,
 }
@@ -17,7 +17,7 @@
 /// See the module.
 #[derive(Debug, Default)]
 pub(super) struct Index {
-    services: HashMap<Arc<str>, Vec<Row>>,
+    services: HashMap<Arc<str>, Vec<HallServers>>,
 }
 
 impl Index {
@@ -26,7 +26,7 @@
         let rows = self.services.entry(record.service.clone()).or_default();
         match rows.iter_mut().find(|row| row.hall == record.hall) {
             Some(row) => row.keys.push(key),
-            None => rows.push(Row { hall: record.hall.clone(), keys: vec![key] }),
+            None => rows.push(HallServers { hall: record.hall.clone(), keys: vec![key] }),
         }
     }
 
@@ -49,7 +49,7 @@
     }
 
     /// Servers of a service drawn by chance, so many of `hall` and as many of all others. Some may come twice.
-    pub(super) fn draw(
+    pub(super) fn sample(
         &self,
         service: &str,
         hall: &str,
--- a/src/gateway/servers/limits.rs
+++ b/src/gateway/servers/limits.rs
@@ -1,8 +1,8 @@
 //! What servers say of the requests a second that they take, and what this daemon may send them.
 
-use super::{ServerKey, Servers, known};
+use super::{ServerKey, Servers, get_by_tag_mut};
 use crate::gateway::clock::minus_millis;
-use crate::gateway::limit::{LimitRemark, Said, Share};
+use crate::gateway::limit::{LimitRemark, LimitReport, Share};
 use crate::gateway::server::Server;
 use crate::gateway::tag::Tag;
 use log::info;
@@ -14,7 +14,7 @@
     ///
     /// That a limit is named counts from now on, and that none is named from when the request was sent: an
     /// answer that was long on its way does not take back what the server has said since.
-    pub fn says_limit(
+    pub fn update_limit(
         &mut self,
         key: ServerKey,
         remark: LimitRemark,
@@ -25,19 +25,19 @@
             return false;
         };
         let is_new = match remark {
-            LimitRemark::Free => server.condition.limit.hear(None, asked, now),
+            LimitRemark::Unlimited => server.condition.limit.hear(None, asked, now),
             LimitRemark::Rate(rate) => server.condition.limit.hear(Some(rate), now, now),
-            LimitRemark::Unclear => false,
+            LimitRemark::Unknown => false,
         };
-        self.note_limit(key, now);
+        self.refresh_limited(key, now);
         is_new
     }
 
     /// Notes whether a server names a limit, and that others are to be told of it.
-    pub(super) fn note_limit(&mut self, key: ServerKey, now: Instant) {
+    pub(super) fn refresh_limited(&mut self, key: ServerKey, now: Instant) {
         let limit = &self.arena[key].condition.limit;
         if limit.for_peers(now).is_some() {
-            self.noted.insert(key);
+            self.reportable.insert(key);
         }
         match limit.rate() {
             Some(_) => self.limited.insert(key),
@@ -55,25 +55,25 @@
     }
 
     /// Brings up to date what this daemon may send to servers in need, by its share of each.
-    pub fn settle_limits(&mut self, service: &str, share: impl Fn(Tag) -> Share, now: Instant) {
+    pub fn update_quotas(&mut self, service: &str, share: impl Fn(Tag) -> Share, now: Instant) {
         let keys: Vec<ServerKey> = self.limited(service).map(|(key, _)| key).collect();
         for key in keys {
             let server = &mut self.arena[key];
-            server.condition.limit.settle(share(server.tag), now);
+            server.condition.limit.update_quota(share(server.tag), now);
         }
     }
 
     /// Notes that a request goes to a server, in case it is in need.
     pub fn use_quota(&mut self, key: ServerKey) {
         if let Some(server) = self.arena.get_mut(key) {
-            server.condition.limit.take();
+            server.condition.limit.use_one();
         }
     }
 
     /// Notes that a request does not go to a server after all.
     pub fn return_quota(&mut self, key: ServerKey) {
         if let Some(server) = self.arena.get_mut(key) {
-            server.condition.limit.give_back();
+            server.condition.limit.return_one();
         }
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// Another daemon has given room for one request at a server.
-    pub fn borrowed(&mut self, server: Tag) {
+    pub fn add_borrowed_quota(&mut self, server: Tag) {
         if let Some(key) = self.by_tag.get(&server).copied() {
             self.return_quota(key);
         }
@@ -102,9 +102,14 @@
     }
 
     /// Takes over what another daemon heard of limits, told by a message sent at `sent` at the earliest.
-    pub(super) fn take_limits(&mut self, limits: &[(Tag, Said)], sent: Instant, now: Instant) {
+    pub(super) fn merge_limits(
+        &mut self,
+        limits: &[(Tag, LimitReport)],
+        sent: Instant,
+        now: Instant,
+    ) {
         for (tag, told) in limits {
-            let Some((key, server)) = known(&self.by_tag, &mut self.arena, *tag) else {
+            let Some((key, server)) = get_by_tag_mut(&self.by_tag, &mut self.arena, *tag) else {
                 continue;
             };
             let Some(said) = minus_millis(sent, told.age_ms) else {
@@ -113,7 +118,7 @@
             if server.condition.limit.hear(told.rate, said, now) {
                 info!(server = &*server.record.id, per_second = told.rate; "a peer says what a server takes");
             }
-            self.note_limit(key, now);
+            self.refresh_limited(key, now);
         }
     }
 }
--- a/src/gateway/servers/past.rs
+++ b/src/gateway/servers/past.rs
@@ -21,7 +21,7 @@
 impl Past {
     /// A start is no longer listed.
     pub(super) fn keep(&mut self, start: Tag, condition: Condition) {
-        if !condition.says_anything() {
+        if !condition.has_lasting_remarks() {
             return;
         }
         self.conditions.insert(start, condition);
--- a/src/gateway/servers/remarks.rs
+++ b/src/gateway/servers/remarks.rs
@@ -27,7 +27,7 @@
 }
 
 impl Backoffs {
-    fn with(self, other: Backoffs) -> Backoffs {
+    fn merge(self, other: Backoffs) -> Backoffs {
         let first = self.first.into_iter().chain(other.first).min();
         Backoffs { first, all: self.all && other.all }
     }
@@ -35,15 +35,15 @@
 
 impl Servers {
     /// Takes in what an answer to something that was sent at `asked` says of its server.
-    pub fn hear(
+    pub fn handle_remarks(
         &mut self,
         key: ServerKey,
         remarks: &Remarks,
         asked: Instant,
         now: Instant,
     ) -> NewRemarks {
-        let limit = self.says_limit(key, remarks.limit, asked, now);
-        let leaves = remarks.leaving && self.leaves(key, now);
+        let limit = self.update_limit(key, remarks.limit, asked, now);
+        let leaves = remarks.leaving && self.mark_leaving(key, now);
         let Some(server) = self.arena.get_mut(key) else {
             return NewRemarks::default();
         };
@@ -92,7 +92,7 @@
         for (_, server) in self.open(service).filter(|(_, server)| may_serve(server)) {
             let left = server.condition.backoff(now).map(|rest| rest.until - now);
             let one = Backoffs { first: left, all: left.is_some() };
-            rested = Some(rested.map_or(one, |others: Backoffs| others.with(one)));
+            rested = Some(rested.map_or(one, |others: Backoffs| others.merge(one)));
         }
         rested
     }
--- a/src/gateway/slot.rs
+++ b/src/gateway/slot.rs
@@ -103,22 +103,22 @@
 
     /// Notes that the server has read the prompt.
     pub fn has_read(&mut self) {
-        let tokens = std::mem::take(&mut self.place.load.reading);
-        self.gateway.servers().has_read(self.key(), tokens);
+        let tokens = std::mem::take(&mut self.place.load.unread_prompt);
+        self.gateway.servers().note_prompt_read(self.key(), tokens);
         self.gateway.tell_load(self.place.load);
     }
 
     /// Notes that the memory of the run has been copied to the server.
     pub fn has_arrived(&mut self) {
-        let tokens = std::mem::take(&mut self.place.load.arriving);
-        self.gateway.servers().has_arrived(self.key(), tokens);
+        let tokens = std::mem::take(&mut self.place.load.incoming_copies);
+        self.gateway.servers().note_copy_arrived(self.key(), tokens);
         self.gateway.tell_load(self.place.load);
     }
 
     /// Notes that no connection to the server came about. Other daemons hear of it at once where it
     /// was refused: they would be as well.
     pub fn not_reached(&self, refused: bool) {
-        self.gateway.servers().not_reached(self.key(), refused, time::now());
+        self.gateway.servers().note_unreachable(self.key(), refused, time::now());
         if refused {
             self.gateway.tell();
         }
@@ -140,7 +140,7 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.gateway.servers().end(self.key(), self.place.load);
+        self.gateway.servers().remove_load(self.key(), self.place.load);
         self.gateway.tell_load(self.place.load);
         if *self.notice.borrow() {
             // Other daemons wait for their turn to move what they have there.
@@ -175,7 +175,7 @@
             return true;
         }
         let (bounds, rank) = *self.cold.lock().expect("no holder panics");
-        server.cold_sendings(now) < rank.share(server.tag(), service.warm_up, bounds)
+        server.recent_cold_requests(now) < rank.share(server.tag(), service.warm_up, bounds)
     }
 
     /// Whether a server may take a request, whatever limit it names: it is not among those that were tried, the
@@ -190,7 +190,7 @@
         let allowed = self.allowed(call);
         move |key, server| {
             !except.contains(&key)
-                && allowed.has(&server.record.hall)
+                && allowed.includes(&server.record.hall)
                 && !server.is_backing_off(now)
                 && self.bears(service, server, now)
         }
@@ -208,7 +208,7 @@
     /// Takes in what came from other daemons since the last time.
     pub(super) fn listen(&self, now: Instant) {
         if let Some(heard) = self.hearing().and_then(|hearing| hearing.peer_stats(now)) {
-            self.servers().set_others(&heard);
+            self.servers().set_peer_stats(&heard);
             self.rollouts().set_others(&heard.rollouts, now);
             self.quarantine().set_others(&heard.evidence, now);
             if !heard.evidence.is_empty() {
@@ -298,7 +298,7 @@
     ) -> Option<Slot> {
         self.listen(now);
         let engine = service.engine.as_ref();
-        let load = Load { reading: 0, arriving: source.load.tokens, ..source.load };
+        let load = Load { unread_prompt: 0, incoming_copies: source.load.tokens, ..source.load };
         let (hall, far) = (source.hall.as_str(), FAR_COPY_COST);
         let need = PlacementRequest { hall, far, alike: COPY_ALIKE, unseen: 0.0, load, engine };
         let terms = Terms { admission_class: AdmissionClass::Begun, bound: Bound::NONE };
@@ -322,8 +322,9 @@
         let may_take = |key, server: &Server| admits(key, server) && may_take(key, server);
         let mut servers = self.servers();
         let quota = self.limited_quota(&mut servers, &service.name, may_take, now);
-        let may_use = quota
-            .is_some_and(|quota| self.may_use(quota, &service.name, terms.admission_class, now));
+        let may_use = quota.is_some_and(|quota| {
+            self.may_use_quota(quota, &service.name, terms.admission_class, now)
+        });
         let may_take = |key, server: &Server| may_take(key, server) && has_quota(server, may_use);
         let candidates = candidates(&servers, service, request.hall, may_take, now);
         // What is unseen lies at all servers, drawn or not.
@@ -338,17 +339,17 @@
         };
         let there = servers.get(key).map(Server::load).unwrap_or_default();
         if !terms.bound.holds(there) {
-            let come_back = admission::come_back(there.reading, &mut rand::rng());
+            let come_back = admission::come_back(there.unread_prompt, &mut rand::rng());
             return Err(NoSlot { why: "crowded", come_back, due: None });
         }
         if servers.get(key).is_some_and(|server| server.is_cold(service.warm_up, now)) {
-            servers.sends_cold(key, now);
+            servers.note_cold_request(key, now);
         }
         if servers.get(key).is_some_and(|server| server.limit().rate().is_some()) {
             servers.use_quota(key);
-            self.redeem(&service.name, terms.admission_class, now);
+            self.fulfill_promise(&service.name, terms.admission_class, now);
         }
-        servers.begin(key, load);
+        servers.add_load(key, load);
         self.work.notify_one();
         self.tell_load(load);
         let server = servers.get(key).ok_or("no_server")?;
@@ -359,7 +360,7 @@
             self.rollouts().stratum(&service.name, &call.route.name, &server.record.version);
         let least = call.route.aim.mul_f64(UNNOTICED_FRACTION);
         let trial = stratum.map(|stratum| Trial { stratum, sent: now, least });
-        let (gateway, waiting) = (self.clone(), there.reading);
+        let (gateway, waiting) = (self.clone(), there.unread_prompt);
         Ok(Slot { gateway, place, notice, knowledge: None, waiting, trial })
     }
 }
@@ -382,9 +383,9 @@
         servers.is_open(&service.name, server) && may_take(*key, server)
     };
     if servers.count(&service.name) > MOST_LOOKED_AT {
-        let drawn = servers.draw(&service.name, hall, DRAWN, &mut rand::rng());
+        let drawn = servers.sample(&service.name, hall, DRAWN, &mut rand::rng());
         let drawn = reached(drawn.into_iter().filter(may_take), now);
-        if drawn.iter().any(|candidate| !candidate.server.is_passed_over(now)) {
+        if drawn.iter().any(|candidate| !candidate.server.is_skipped(now)) {
             return drawn;
         }
     }
@@ -397,7 +398,7 @@
     now: Instant,
 ) -> Vec<Candidate<'a>> {
     let (passed_over, mut reached): (Vec<_>, Vec<_>) =
-        open.partition(|(_, server)| server.is_passed_over(now));
+        open.partition(|(_, server)| server.is_skipped(now));
     if reached.is_empty() {
         reached = passed_over;
     }
--- a/src/gateway/suspicion.rs
+++ b/src/gateway/suspicion.rs
@@ -18,29 +18,29 @@
 
 /// Longest time for the knock at a server under which a run was lost: some times a round trip. The VM of one
 /// that has ended refuses at once.
-const KNOCK: Duration = Duration::from_millis(150);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 /// Time between two looks for requests that are to be recorded. Heartbeats have told of them by then; the
 /// record is for daemons that start later.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Longest pause before a record is written: each daemon that saw a server end would write it, and those
 /// that draw longer pauses may find it written. Short, since until then a loss of power forgets the request.
-const SPREAD: Duration = Duration::from_millis(300);
+const MAX_RECORD_DELAY: Duration = Duration::from_millis(300);
 /// The same before one that the store has lost, which all daemons know of.
-const LOST_SPREAD: Duration = Duration::from_secs(5);
+const MAX_RESTORE_DELAY: Duration = Duration::from_secs(5);
 /// Pause after a record that was not written, unless the store is known to be away; every call is priced.
-const AFTER_FAILURE: Duration = Duration::from_millis(1_000);
+const RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
 impl Gateway {
     /// Notes that a server survived a run of a request.
-    pub(crate) fn has_survived(&self, call: &Call) {
+    pub(crate) fn note_survived(&self, call: &Call) {
         self.quarantine().survived(call.fingerprint(), time::now());
     }
 
     /// A run that had just begun, or had not, was lost at a server: if that server has ended, the request may
     /// be why. One that was known to leave has ended for that reason. Other daemons hear at once that nothing
     /// listens there, and of what was seen.
-    pub(crate) async fn suspect(&self, call: &Call, slot: &Slot, run: Run) {
-        if *slot.notice.borrow() || !self.wire.is_gone(slot.place.to.addr, KNOCK).await {
+    pub(crate) async fn handle_lost_run(&self, call: &Call, slot: &Slot, run: Run) {
+        if *slot.notice.borrow() || !self.wire.is_gone(slot.place.to.addr, PROBE_TIMEOUT).await {
             return;
         }
         let (request, now) = (call.fingerprint(), time::now());
@@ -65,15 +65,15 @@
             gateway.metrics.quarantined.set(0);
             gateway.quarantine_changed.notified().await;
         }
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
         let (proved, lost, count) = {
             let mut quarantine = gateway.quarantine();
             let (proved, lost) = (quarantine.take_unsaved(), quarantine.take_lost());
             (proved, lost, quarantine.count(time::now()))
         };
         gateway.metrics.quarantined.set(count as i64);
-        let proved = proved.into_iter().map(|request| (request, SPREAD));
-        let lost = lost.into_iter().map(|request| (request, LOST_SPREAD));
+        let proved = proved.into_iter().map(|request| (request, MAX_RECORD_DELAY));
+        let lost = lost.into_iter().map(|request| (request, MAX_RESTORE_DELAY));
         for (request, spread) in proved.chain(lost) {
             let key = format!("{}{request}", schema.quarantine());
             let (gateway, store, mirror) = (gateway.clone(), store.clone(), mirror.clone());
@@ -96,7 +96,7 @@
 ) {
     while gateway.quarantine().is_unsaved(request, time::now()) {
         if mirror.store_is_away() {
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
             continue;
         }
         match write(&*store, &key).await {
@@ -106,7 +106,7 @@
             }
             Err(e) => {
                 warn!(key = key.as_str(), why = e.to_string().as_str(); "request that ends servers is not recorded");
-                sleep(AFTER_FAILURE).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/src/gateway/upstream.rs
+++ b/src/gateway/upstream.rs
@@ -62,10 +62,10 @@
 ) -> Result<Upstream, String> {
     let now = time::now();
     gateway.note_knowledge(now);
-    gateway.log_remarked(call, server, now);
+    gateway.log_server_remarks(call, server, now);
     let sent = gateway.wire.send(call, sending, None).await;
     if let Ok(reply) = &sent {
-        gateway.hear(server, &reply.remarks, now);
+        gateway.handle_remarks(server, &reply.remarks, now);
     }
     match sent {
         Ok(reply) if reply.status.is_success() => Ok(Upstream::new(reply.body)),
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -42,7 +42,7 @@
 impl Request {
     fn load(self) -> Load {
         let tokens = self.prompt + if self.draft { 750 } else { 10 };
-        Load { runs: 1, tokens, reading: self.prompt, ..Load::default() }
+        Load { runs: 1, tokens, unread_prompt: self.prompt, ..Load::default() }
     }
 }
 
@@ -104,12 +104,14 @@
                     day.asked += 1.0;
                     day.large += f64::from(u8::from(large));
                 }
-                let at =
-                    (0..SERVERS).min_by_key(|i| loads[*i].reading + loads[*i].tokens / 3).unwrap();
+                let at = (0..SERVERS)
+                    .min_by_key(|i| loads[*i].unread_prompt + loads[*i].tokens / 3)
+                    .unwrap();
                 let bound = Bound::of(AIM, &ENGINE, request.standing);
                 if bounded && !bound.holds(loads[at]) {
                     if first {
-                        let back = now + come_back(loads[at].reading, &mut rng).as_millis() as u64;
+                        let back =
+                            now + come_back(loads[at].unread_prompt, &mut rng).as_millis() as u64;
                         let standing = AdmissionClass::Returned;
                         add(&mut events, back, Event::Comes(Request { standing, ..request }));
                     } else {
@@ -127,12 +129,12 @@
                 day.in_aim += f64::from(u8::from(!late));
             }
             Event::Read(at, request) => {
-                loads[at].reading -= request.prompt;
+                loads[at].unread_prompt -= request.prompt;
                 let runs = if request.draft { DRAFT_MS } else { SUMMARY_MS };
                 add(&mut events, now + runs, Event::Ends(at, request));
             }
             Event::Ends(at, request) => {
-                loads[at] -= Load { reading: 0, ..request.load() };
+                loads[at] -= Load { unread_prompt: 0, ..request.load() };
             }
         }
     }
@@ -184,7 +186,7 @@
 fn one_that_was_refused_finds_room_that_newcomers_do_not() {
     let newcomer = Bound::of(AIM, &ENGINE, AdmissionClass::Newcomer);
     let returned = Bound::of(AIM, &ENGINE, AdmissionClass::Returned);
-    let load = Load { runs: 3, tokens: 9_000, reading: 4_000, ..Load::default() };
+    let load = Load { runs: 3, tokens: 9_000, unread_prompt: 4_000, ..Load::default() };
     assert!(!newcomer.holds(load) && returned.holds(load));
     assert_eq!(
         AdmissionClass::of(Duration::from_millis(4_900), Duration::from_secs(6)),
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -184,7 +184,7 @@
 const BOOT: u64 = 42;
 
 fn told(runs: u32) -> DaemonStats {
-    let load = Load { runs, tokens: 1_000 * runs, once: 1_000 * runs, ..Load::default() };
+    let load = Load { runs, tokens: 1_000 * runs, non_repeatable: 1_000 * runs, ..Load::default() };
     DaemonStats {
         loads: vec![(Tag::of("server"), load)],
         spent: vec![(Tag::of("service"), Spent { requests: 10 * runs, repeats: 2 * runs })],
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -80,9 +80,9 @@
             for (before, (servers, key)) in fleet.iter_mut().enumerate() {
                 let server = servers.get(*key).unwrap();
                 let share = Rank { before, daemons }.share(server.tag(), WARM_UP, BOUNDS);
-                let bears = server.cold_sendings(now) < share;
+                let bears = server.recent_cold_requests(now) < share;
                 if server.is_cold(WARM_UP, now) && bears && rng.random_bool(0.3) {
-                    servers.sends_cold(*key, now);
+                    servers.note_cold_request(*key, now);
                     sent.push(now);
                 }
             }
@@ -105,7 +105,7 @@
     let (mut servers, key) = one_server();
     let now = Instant::now();
     assert!(!is_cold(&servers, key, now));
-    servers.hear(key, &cold_for(ms(700)), now, now);
+    servers.handle_remarks(key, &cold_for(ms(700)), now, now);
     assert!(is_cold(&servers, key, now + ms(699)));
     assert!(!is_cold(&servers, key, now + ms(701)));
 }
@@ -114,7 +114,7 @@
 fn a_server_is_not_cold_for_a_time_that_has_no_end() {
     let (mut servers, key) = one_server();
     let now = Instant::now();
-    servers.hear(key, &cold_for(Duration::MAX), now, now);
+    servers.handle_remarks(key, &cold_for(Duration::MAX), now, now);
     assert!(!is_cold(&servers, key, now + ms(1)));
 }
 
@@ -122,9 +122,9 @@
 fn a_server_that_was_not_reached_may_have_started_again() {
     let (mut servers, key) = one_server();
     let now = Instant::now();
-    servers.not_reached(key, true, now);
+    servers.note_unreachable(key, true, now);
     assert!(is_cold(&servers, key, now + ms(60_000)), "nobody knows when it comes back");
-    servers.judge(key, false, now + ms(60_000));
+    servers.record_outcome(key, false, now + ms(60_000));
     assert!(is_cold(&servers, key, now + ms(61_000)));
     assert!(!is_cold(&servers, key, now + ms(64_000)), "by then its entry would say so");
 }
@@ -133,7 +133,7 @@
 fn servers_of_a_service_that_does_not_warm_up_are_never_cold() {
     let (mut servers, key) = one_server();
     let now = Instant::now();
-    servers.not_reached(key, true, now);
-    servers.hear(key, &cold_for(ms(700)), now, now);
+    servers.note_unreachable(key, true, now);
+    servers.handle_remarks(key, &cold_for(ms(700)), now, now);
     assert!(!servers.get(key).unwrap().is_cold(WarmUp::default(), now));
 }
--- a/tests/common/servers.rs
+++ b/tests/common/servers.rs
@@ -19,7 +19,7 @@
     let id = format!("i-{number}");
     let record = ServerRecord {
         id: id.as_str().into(),
-        born: None,
+        started_ms: None,
         service: "model".into(),
         version: "v1".into(),
         addr: "127.0.0.1:9".parse().expect("an address"),
@@ -30,6 +30,6 @@
     };
     servers.upsert(record, std::time::Instant::now());
     let key = servers.find(&id).expect("it was just added");
-    servers.begin(key, load);
+    servers.add_load(key, load);
     key
 }
--- a/tests/eras.rs
+++ b/tests/eras.rs
@@ -313,14 +313,15 @@
             let servers = node.gateway.servers();
             for id in 0..SERVERS {
                 let server = servers.find(&id.to_string()).and_then(|key| servers.get(key));
-                let Some((server, born)) = server.and_then(|s| Some((s, s.record.born?))) else {
+                let Some((server, born)) = server.and_then(|s| Some((s, s.record.started_ms?)))
+                else {
                     continue;
                 };
                 if server.record.leaving {
                     self.leaving[n].insert((id, born));
                 }
                 prop_assert!(
-                    !server.open() || !self.leaving[n].contains(&(id, born)),
+                    !server.is_open() || !self.leaving[n].contains(&(id, born)),
                     "node {n} uses server {id}, which had said that it leaves"
                 );
             }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -20,7 +20,7 @@
 use tidestair::gateway::clock::Echo;
 use tidestair::gateway::fingerprint::Fingerprint;
 use tidestair::gateway::heartbeat::{self, DaemonStats, Origin, Sum};
-use tidestair::gateway::limit::Said;
+use tidestair::gateway::limit::LimitReport;
 use tidestair::gateway::outcomes::Outcomes;
 use tidestair::gateway::quarantine::Evidence;
 use tidestair::gateway::rollout::tally::Tally;
@@ -97,7 +97,16 @@
 
 fn told() -> DaemonStats {
     DaemonStats {
-        loads: vec![(tag(11), Load { runs: 12, tokens: 13, reading: 14, once: 15, arriving: 16 })],
+        loads: vec![(
+            tag(11),
+            Load {
+                runs: 12,
+                tokens: 13,
+                unread_prompt: 14,
+                non_repeatable: 15,
+                incoming_copies: 16,
+            },
+        )],
         spent: vec![(tag(17), Spent { requests: 18, repeats: 19 })],
         outcomes: vec![(tag(20), Outcomes { tried: 2.5, failed: 1.5 })],
         evidence: vec![(
@@ -147,7 +156,7 @@
 fn server() -> ServerRecord {
     ServerRecord {
         id: "i-1".into(),
-        born: Some(61),
+        started_ms: Some(61),
         service: "s".into(),
         version: "v2".into(),
         addr: addr(9001),
@@ -178,8 +187,8 @@
             leaving: vec![tag(25)],
             refusing: vec![(tag(26), 27)],
             limits: vec![
-                (tag(28), Said { rate: Some(1.5), age_ms: 29 }),
-                (tag(30), Said { rate: None, age_ms: 31 }),
+                (tag(28), LimitReport { rate: Some(1.5), age_ms: 29 }),
+                (tag(30), LimitReport { rate: None, age_ms: 31 }),
             ],
         },
         peer_addrs: vec![addr(7201)],
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -193,7 +193,7 @@
 fn record(id: &str, leaving: bool) -> ServerRecord {
     ServerRecord {
         id: id.into(),
-        born: None,
+        started_ms: None,
         service: "app".into(),
         version: "v1".into(),
         addr: "127.0.0.1:9".parse().unwrap(),
@@ -222,13 +222,14 @@
     let (mut servers, now) = (Servers::default(), Instant::now());
     servers.upsert(record("i-1", false), now);
     let key = servers.find("i-1").unwrap();
-    let load = Load { runs: 1, tokens: 10, reading: 5, once: 10, arriving: 0 };
-    servers.begin(key, load);
+    let load =
+        Load { runs: 1, tokens: 10, unread_prompt: 5, non_repeatable: 10, incoming_copies: 0 };
+    servers.add_load(key, load);
     servers.remove("i-1");
     assert_eq!(servers.open("app").count(), 0);
     assert!(servers.get(key).is_some());
     assert_eq!(servers.own_loads(), [(Tag::of("i-1"), load)]);
-    servers.end(key, load);
+    servers.remove_load(key, load);
     assert!(servers.get(key).is_none());
 }
 
@@ -238,7 +239,7 @@
     servers.upsert(record("i-1", false), now);
     let key = servers.find("i-1").unwrap();
     for _ in 0..20 {
-        servers.judge(key, true, now);
+        servers.record_outcome(key, true, now);
     }
     let rate = |at| servers.get(key).unwrap().failure_rate(at);
     assert!(rate(now) > 0.9);
@@ -257,17 +258,17 @@
     let now = Instant::now();
     let mut servers = one_server(now);
     let key = servers.find("i-1").unwrap();
-    let passed_over = |servers: &Servers, at| servers.get(key).unwrap().is_passed_over(at);
-    servers.not_reached(key, false, now);
+    let passed_over = |servers: &Servers, at| servers.get(key).unwrap().is_skipped(at);
+    servers.note_unreachable(key, false, now);
     assert!(passed_over(&servers, now + ms(400)));
     assert!(!passed_over(&servers, now + ms(500)));
-    servers.not_reached(key, false, now + ms(500));
+    servers.note_unreachable(key, false, now + ms(500));
     assert!(passed_over(&servers, now + ms(1_400)), "twice as long");
     for _ in 0..40 {
-        servers.not_reached(key, false, now);
+        servers.note_unreachable(key, false, now);
     }
     assert!(!passed_over(&servers, now + ms(4_000)), "but never for ever");
-    servers.judge(key, false, now);
+    servers.record_outcome(key, false, now);
     assert!(!passed_over(&servers, now));
 }
 
@@ -276,21 +277,21 @@
     let now = Instant::now();
     let (mut told, mut hears) = (one_server(now), one_server(now));
     let key = told.find("i-1").unwrap();
-    told.not_reached(key, false, now);
+    told.note_unreachable(key, false, now);
     assert_eq!(
         told.observations(now),
         Observations::default(),
         "a silent server may be cut off from one daemon only"
     );
-    told.not_reached(key, true, now);
+    told.note_unreachable(key, true, now);
     let signs = told.observations(now + ms(300));
     hears.merge_observations(&signs, None, now + ms(300));
     let key = hears.find("i-1").unwrap();
-    assert!(!hears.get(key).unwrap().is_passed_over(now + ms(300)), "it can't be dated");
+    assert!(!hears.get(key).unwrap().is_skipped(now + ms(300)), "it can't be dated");
     // On its way for a while: what passes is counted from its sending.
     hears.merge_observations(&signs, Some(now + ms(300)), now + ms(350));
-    assert!(hears.get(key).unwrap().is_passed_over(now + ms(900)));
-    assert!(!hears.get(key).unwrap().is_passed_over(now + ms(1_000)));
+    assert!(hears.get(key).unwrap().is_skipped(now + ms(900)));
+    assert!(!hears.get(key).unwrap().is_skipped(now + ms(1_000)));
 }
 
 #[test]
@@ -299,7 +300,7 @@
     let mut fleet: Vec<Servers> = (0..5).map(|_| one_server(now)).collect();
     let key = |servers: &Servers| servers.find("i-1").unwrap();
     let first = key(&fleet[0]);
-    fleet[0].not_reached(first, true, now);
+    fleet[0].note_unreachable(first, true, now);
     let told = fleet[0].observations(now).refusing[0].1;
     // Each heartbeat is on its way for 20 ms, which its receiver may not know.
     for round in 0..40u32 {
@@ -311,8 +312,8 @@
     let until = now + ms(u64::from(told));
     for servers in &fleet {
         let server = servers.get(key(servers)).unwrap();
-        assert!(server.is_passed_over(until - ms(5)));
-        assert!(!server.is_passed_over(until));
+        assert!(server.is_skipped(until - ms(5)));
+        assert!(!server.is_skipped(until));
     }
 }
 
@@ -326,14 +327,14 @@
     let now = Instant::now();
     let (mut told, mut hears) = (one_server(now), one_server(now));
     let key = |servers: &Servers| servers.find("i-1").unwrap();
-    told.judge(key(&told), true, now);
-    hears.set_others(&heard(&told, now));
+    told.record_outcome(key(&told), true, now);
+    hears.set_peer_stats(&heard(&told, now));
     let rate = |servers: &Servers| servers.get(key(servers)).unwrap().failure_rate(now);
     assert!(rate(&hears) >= 0.5, "{}", rate(&hears));
     assert!(
         hears.own_outcomes(now).iter().any(|(tag, own)| *tag == Tag::of("i-1") && own.tried == 0.0)
     );
-    hears.set_others(&PeerStats::default());
+    hears.set_peer_stats(&PeerStats::default());
     assert_eq!(rate(&hears), 0.0, "the daemon is no longer heard");
 }
 
@@ -342,13 +343,13 @@
     let now = Instant::now();
     let (mut cut_off, mut sees) = (one_server(now), one_server(now));
     let key = sees.find("i-1").unwrap();
-    (0..19).for_each(|_| sees.judge(key, false, now));
+    (0..19).for_each(|_| sees.record_outcome(key, false, now));
     assert_eq!(sees.own_outcomes(now), [], "where nothing fails, nothing is told");
-    cut_off.judge(cut_off.find("i-1").unwrap(), true, now);
-    sees.set_others(&heard(&cut_off, now));
+    cut_off.record_outcome(cut_off.find("i-1").unwrap(), true, now);
+    sees.set_peer_stats(&heard(&cut_off, now));
     let rate = sees.get(key).unwrap().failure_rate(now);
     assert!(rate < 0.06, "{rate}");
-    cut_off.set_others(&heard(&sees, now));
+    cut_off.set_peer_stats(&heard(&sees, now));
     let rate = cut_off.get(cut_off.find("i-1").unwrap()).unwrap().failure_rate(now);
     assert!(rate < 0.06, "the sound exchanges are told once a failure was: {rate}");
 }
@@ -357,7 +358,7 @@
 fn a_leaving_that_the_store_does_not_tell_is_told_to_peers() {
     let now = Instant::now();
     let (mut told, mut hears) = (one_server(now), one_server(now));
-    told.leaves(told.find("i-1").unwrap(), now);
+    told.mark_leaving(told.find("i-1").unwrap(), now);
     assert_eq!(told.observations(now).leaving, [Tag::of("i-1")]);
     hears.merge_observations(&told.observations(now), Some(now), now);
     assert_eq!(hears.open("app").count(), 0);
--- a/tests/herd.rs
+++ b/tests/herd.rs
@@ -22,7 +22,13 @@
 /// Servers of a hall.
 const SERVERS: usize = 15;
 /// A draft's prompt with its answer.
-const REQUEST: Load = Load { runs: 1, tokens: 3_540, reading: 3_079, once: 3_540, arriving: 0 };
+const REQUEST: Load = Load {
+    runs: 1,
+    tokens: 3_540,
+    unread_prompt: 3_079,
+    non_repeatable: 3_540,
+    incoming_copies: 0,
+};
 /// Plays, over which the figures are means.
 const PLAYS: usize = 200;
 const SEED: u64 = 7;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -18,7 +18,7 @@
 use servers::add_server;
 use std::time::{Duration, Instant};
 use tidestair::gateway::budget::{Others, Spent};
-use tidestair::gateway::limit::{LimitRemark, Said};
+use tidestair::gateway::limit::{LimitRemark, LimitReport};
 use tidestair::gateway::servers::{Load, Observations, ServerRecord, Servers};
 use tidestair::gateway::tag::Tag;
 
@@ -195,20 +195,20 @@
     let key = add_server(&mut servers, 1, "here", Load::default());
     let rate = |servers: &Servers| servers.get(key).unwrap().limit().rate();
     let at = |n| start + ms(n);
-    assert!(servers.says_limit(key, LimitRemark::Rate(2.0), at(0), at(100)));
+    assert!(servers.update_limit(key, LimitRemark::Rate(2.0), at(0), at(100)));
     // Asked before the limit was heard, and answered long after.
-    assert!(!servers.says_limit(key, LimitRemark::Free, at(50), at(3_000)));
+    assert!(!servers.update_limit(key, LimitRemark::Unlimited, at(50), at(3_000)));
     assert_eq!(rate(&servers), Some(2.0));
     // A value that is no number changes nothing, neither way.
-    assert!(!servers.says_limit(key, LimitRemark::Unclear, at(3_000), at(3_010)));
+    assert!(!servers.update_limit(key, LimitRemark::Unknown, at(3_000), at(3_010)));
     assert_eq!(rate(&servers), Some(2.0));
-    assert!(servers.says_limit(key, LimitRemark::Free, at(3_100), at(3_200)));
-    assert!(!servers.says_limit(key, LimitRemark::Unclear, at(3_300), at(3_310)));
+    assert!(servers.update_limit(key, LimitRemark::Unlimited, at(3_100), at(3_200)));
+    assert!(!servers.update_limit(key, LimitRemark::Unknown, at(3_300), at(3_310)));
     assert_eq!(rate(&servers), None);
     // A peer's word of the limit, from before that.
     let tag = servers.get(key).unwrap().tag();
     let told = |rate, age_ms| Observations {
-        limits: vec![(tag, Said { rate, age_ms })],
+        limits: vec![(tag, LimitReport { rate, age_ms })],
         ..Observations::default()
     };
     servers.merge_observations(&told(Some(2.0), 400), Some(at(3_400)), at(3_420));
@@ -225,10 +225,10 @@
 fn a_limit_ends_with_the_start_of_the_server_that_named_it() {
     let (mut servers, now) = (Servers::default(), Instant::now());
     let key = add_server(&mut servers, 1, "here", Load::default());
-    servers.says_limit(key, LimitRemark::Rate(2.0), now, now);
-    servers.end(key, Load::default());
+    servers.update_limit(key, LimitRemark::Rate(2.0), now, now);
+    servers.remove_load(key, Load::default());
     let record = servers.get(key).unwrap().record.clone();
-    servers.upsert(ServerRecord { born: Some(7), ..record }, now);
+    servers.upsert(ServerRecord { started_ms: Some(7), ..record }, now);
     let again = servers.find("i-1").unwrap();
     assert_eq!(servers.get(again).unwrap().limit().rate(), None);
 }
--- a/tests/limits/play.rs
+++ b/tests/limits/play.rs
@@ -129,9 +129,9 @@
         let now = self.fleet.now;
         while self.answers.front().is_some_and(|(at, ..)| *at <= now) {
             let (_, i, asked, names) = self.answers.pop_front().expect("there is one");
-            let word = names.map_or(LimitRemark::Free, LimitRemark::Rate);
+            let word = names.map_or(LimitRemark::Unlimited, LimitRemark::Rate);
             let known = &mut self.known[i];
-            known.servers.says_limit(known.key, word, asked, now);
+            known.servers.update_limit(known.key, word, asked, now);
         }
     }
 
@@ -206,10 +206,10 @@
         let near = budget.near();
         let share = |server: Tag| {
             let (daemons, place) = (near.count(), near.place(server));
-            let cell = CellShare { fraction: cell_part, daemons, place };
+            let cell = CellShare { fraction: cell_part, daemons, position: place };
             Share { fraction: part, phase: rank.phase(server), cell }
         };
-        known.servers.settle_limits(SERVICE, share, now);
+        known.servers.update_quotas(SERVICE, share, now);
     }
 
     /// Asks daemons that hold room for some of it, those of the same cell first.
@@ -243,7 +243,7 @@
             let known = &mut self.known[lender];
             let tag = known.servers.get(known.key).expect("it is listed").tag();
             if let Some(server) = known.servers.lend(&[tag]) {
-                self.known[i].servers.borrowed(server);
+                self.known[i].servers.add_borrowed_quota(server);
                 return true;
             }
         }
--- a/tests/mirror/stand_ins.rs
+++ b/tests/mirror/stand_ins.rs
@@ -142,7 +142,7 @@
         let start = text.split('.').next().and_then(|text| text.split_once('@'));
         Ok(ServerRecord {
             id: id.into(),
-            born: start.and_then(|(_, born)| born.parse().ok()),
+            started_ms: start.and_then(|(_, born)| born.parse().ok()),
             service: "app".into(),
             version: "v1".into(),
             addr: "127.0.0.1:9".parse().expect("an address"),
@@ -169,7 +169,7 @@
     /// Whether new work may go to a server.
     pub fn takes_work(&self, id: &str) -> bool {
         let servers = self.gateway.servers();
-        servers.find(id).and_then(|key| servers.get(key)).is_some_and(|server| server.open())
+        servers.find(id).and_then(|key| servers.get(key)).is_some_and(|server| server.is_open())
     }
 
     /// Whether new work may go to a server and its hall.
@@ -190,7 +190,10 @@
     /// The start of a server that is listed.
     pub fn born(&self, id: &str) -> Option<u64> {
         let servers = self.gateway.servers();
-        servers.find(id).and_then(|key| servers.get(key)).and_then(|server| server.record.born)
+        servers
+            .find(id)
+            .and_then(|key| servers.get(key))
+            .and_then(|server| server.record.started_ms)
     }
 
     /// Gives another node what it lacks, as of `age` ago; with `all`, large values too.
--- a/tests/placing.rs
+++ b/tests/placing.rs
@@ -17,11 +17,23 @@
 const DRAWS: usize = 500;
 
 /// A run that is to be copied, and a request.
-const RUN: Load = Load { runs: 1, tokens: 4_000, reading: 0, once: 4_000, arriving: 4_000 };
-const REQUEST: Load = Load { runs: 1, tokens: 3_700, reading: 3_000, once: 3_700, arriving: 0 };
+const RUN: Load = Load {
+    runs: 1,
+    tokens: 4_000,
+    unread_prompt: 0,
+    non_repeatable: 4_000,
+    incoming_copies: 4_000,
+};
+const REQUEST: Load = Load {
+    runs: 1,
+    tokens: 3_700,
+    unread_prompt: 3_000,
+    non_repeatable: 3_700,
+    incoming_copies: 0,
+};
 
 fn runs(count: u32) -> Load {
-    Load { runs: count, tokens: 4_000 * count, once: 4_000 * count, ..Load::default() }
+    Load { runs: count, tokens: 4_000 * count, non_repeatable: 4_000 * count, ..Load::default() }
 }
 
 /// Which servers are chosen for `load`, by their numbers; each with its hall and what it has.
@@ -63,7 +75,7 @@
 
 #[test]
 fn a_copy_avoids_a_link_that_another_one_uses() {
-    let busy = Load { arriving: 4_000, ..runs(1) };
+    let busy = Load { incoming_copies: 4_000, ..runs(1) };
     let servers = [("here", busy), ("here", runs(3)), ("here", busy)];
     assert_eq!(copied_to(&servers), BTreeSet::from([1]));
 }
@@ -72,7 +84,7 @@
 fn a_copy_stays_in_its_hall_until_the_links_there_are_busy() {
     let servers = [("there", runs(0)), ("here", runs(4))];
     assert_eq!(copied_to(&servers), BTreeSet::from([1]));
-    let busy = Load { arriving: 12_000, ..runs(4) };
+    let busy = Load { incoming_copies: 12_000, ..runs(4) };
     assert_eq!(copied_to(&[("there", runs(0)), ("here", busy)]), BTreeSet::from([0]));
 }
 
@@ -100,7 +112,7 @@
 
 #[test]
 fn prompts_that_are_still_to_be_read_weigh() {
-    let reading = Load { reading: 6_000, ..runs(1) };
+    let reading = Load { unread_prompt: 6_000, ..runs(1) };
     let servers = [("here", reading), ("here", runs(3))];
     assert_eq!(chosen(&servers, REQUEST, FAR_COST, ALIKE), BTreeSet::from([1]));
 }
--- a/tests/promises.rs
+++ b/tests/promises.rs
@@ -10,7 +10,7 @@
 const LEFT: Duration = Duration::from_secs(4);
 
 fn room(now: f64) -> Quota {
-    Quota { now, pace: PACE, all: ALL }
+    Quota { now, refill_rate: PACE, total_rate: ALL }
 }
 
 fn ms(n: u64) -> Duration {
@@ -19,8 +19,8 @@
 
 /// One caller is told to come back.
 fn told(promises: &mut Promises, now: Instant) -> Duration {
-    let back = promises.come_back(room(0.0), DEMAND, LEFT, now);
-    promises.keep(back.due.expect("it would wait"));
+    let back = promises.retry_advice(room(0.0), DEMAND, LEFT, now);
+    promises.reserve(back.due.expect("it would wait"));
     back.after
 }
 
@@ -28,8 +28,8 @@
 fn callers_are_told_to_come_back_one_after_the_other_while_they_would_wait() {
     let (mut promises, now) = (Promises::default(), Instant::now());
     let mut come_back = || {
-        let back = promises.come_back(room(0.0), DEMAND, LEFT, now);
-        back.due.into_iter().for_each(|due| promises.keep(due));
+        let back = promises.retry_advice(room(0.0), DEMAND, LEFT, now);
+        back.due.into_iter().for_each(|due| promises.reserve(due));
         (back.after, back.due.is_some())
     };
     // Half of what comes free is promised: two a second.
@@ -39,11 +39,11 @@
     assert_eq!(come_back(), (ms(1_500), false));
     assert_eq!(come_back(), (ms(1_500), false));
     // Where little comes, it does not ask again at once.
-    let little = promises.come_back(Quota { pace: 0.1, ..room(0.0) }, 0.1, LEFT, now);
+    let little = promises.retry_advice(Quota { refill_rate: 0.1, ..room(0.0) }, 0.1, LEFT, now);
     assert_eq!((little.after, little.due), (ms(300), None));
     // With less by way of this daemon, it is told when all of them have taken what comes in a second.
-    let small = Quota { pace: 0.1, ..room(0.0) };
-    let back = promises.come_back(small, DEMAND, LEFT, now);
+    let small = Quota { refill_rate: 0.1, ..room(0.0) };
+    let back = promises.retry_advice(small, DEMAND, LEFT, now);
     assert_eq!((back.after, back.due), (ms(2_000), None));
 }
 
@@ -55,7 +55,7 @@
     assert!(!promises.newcomer_may_use(room(1.0), start + due - ms(200)));
     assert!(promises.newcomer_may_use(room(2.0), start + due - ms(200)));
     assert!(!promises.newcomer_may_use(room(1.0), start + due));
-    promises.redeem(start + due);
+    promises.fulfill_promise(start + due);
     assert!(promises.newcomer_may_use(room(1.0), start + due));
 }
 
@@ -73,8 +73,8 @@
     assert!(promises.newcomer_may_use(room(1.0), now));
     assert!(!promises.newcomer_may_use(room(0.9), now));
     // Nothing ever comes free at this daemon: an hour at most is told.
-    let none = Quota { now: 0.0, pace: 0.0, all: 0.0 };
+    let none = Quota { now: 0.0, refill_rate: 0.0, total_rate: 0.0 };
     assert!(!promises.newcomer_may_use(none, now));
-    let back = promises.come_back(none, DEMAND, LEFT, now);
+    let back = promises.retry_advice(none, DEMAND, LEFT, now);
     assert_eq!((back.after, back.due), (Duration::from_secs(3_600), None));
 }
--- a/tests/remarks.rs
+++ b/tests/remarks.rs
@@ -10,7 +10,7 @@
 use tidestair::gateway::servers::{Load, ServerKey, ServerRecord, Servers};
 
 const LEAVES: Remarks =
-    Remarks { leaving: true, backoff: None, limit: LimitRemark::Unclear, cold: None };
+    Remarks { leaving: true, backoff: None, limit: LimitRemark::Unknown, cold: None };
 
 /// A server on which this daemon has no runs.
 fn idle_server(servers: &mut Servers) -> ServerKey {
@@ -24,7 +24,7 @@
     let (mut servers, now) = (Servers::default(), Instant::now());
     let key = idle_server(&mut servers);
     let record = servers.get(key).unwrap().record.clone();
-    servers.hear(key, &LEAVES, now, now);
+    servers.handle_remarks(key, &LEAVES, now, now);
     servers.remove(&record.id);
     servers.upsert(record, now + Duration::from_secs(20));
     assert_eq!(servers.open("model").count(), 0, "it leaves as it did before");
@@ -40,10 +40,10 @@
     let record = servers.get(key).unwrap().record.clone();
     servers.remove(&record.id);
     // A request that was under way there.
-    servers.hear(key, &LEAVES, now, now);
+    servers.handle_remarks(key, &LEAVES, now, now);
     let limited = Remarks { limit: LimitRemark::Rate(2.0), ..Remarks::default() };
-    servers.hear(key, &limited, now, now);
-    servers.end(key, running);
+    servers.handle_remarks(key, &limited, now, now);
+    servers.remove_load(key, running);
     servers.upsert(record, now);
     assert_eq!(servers.open("model").count(), 0);
     assert_eq!(servers.count_limited(), 1);
@@ -55,12 +55,12 @@
     let (mut servers, now) = (Servers::default(), Instant::now());
     let key = idle_server(&mut servers);
     let record = servers.get(key).unwrap().record.clone();
-    assert!(servers.hear(key, &LEAVES, now, now).leaves);
-    assert!(!servers.hear(key, &LEAVES, now, now).leaves, "it is known");
-    let free = Remarks { limit: LimitRemark::Free, ..Remarks::default() };
-    servers.hear(key, &free, now, now + Duration::from_secs(3));
+    assert!(servers.handle_remarks(key, &LEAVES, now, now).leaves);
+    assert!(!servers.handle_remarks(key, &LEAVES, now, now).leaves, "it is known");
+    let free = Remarks { limit: LimitRemark::Unlimited, ..Remarks::default() };
+    servers.handle_remarks(key, &free, now, now + Duration::from_secs(3));
     servers.suspect(key, now);
-    servers.trust(key, now);
+    servers.clear_suspicion(key, now);
     servers.upsert(record, now + Duration::from_secs(4));
     assert_eq!(servers.open("model").count(), 0);
 }
@@ -70,11 +70,11 @@
     let (mut servers, now) = (Servers::default(), Instant::now());
     let key = idle_server(&mut servers);
     let record = servers.get(key).unwrap().record.clone();
-    servers.hear(key, &LEAVES, now, now);
-    servers.upsert(ServerRecord { born: Some(7), ..record }, now);
+    servers.handle_remarks(key, &LEAVES, now, now);
+    servers.upsert(ServerRecord { started_ms: Some(7), ..record }, now);
     assert_eq!(servers.open("model").count(), 1);
     // An answer of the start before, long on its way.
-    servers.hear(key, &LEAVES, now, now + Duration::from_secs(5));
+    servers.handle_remarks(key, &LEAVES, now, now + Duration::from_secs(5));
     assert_eq!(servers.open("model").count(), 1);
 }
 
@@ -88,17 +88,17 @@
     let (mut servers, start) = (Servers::default(), Instant::now());
     let key = idle_server(&mut servers);
     let at = |seconds| start + Duration::from_secs(seconds);
-    assert!(servers.hear(key, &rests(5), at(0), at(0)).backs_off);
+    assert!(servers.handle_remarks(key, &rests(5), at(0), at(0)).backs_off);
     assert!(
-        !servers.hear(key, &rests(1), at(0), at(1)).backs_off,
+        !servers.handle_remarks(key, &rests(1), at(0), at(1)).backs_off,
         "an older answer, or a shorter rest"
     );
     // It served a request that was under way.
-    let free = Remarks { limit: LimitRemark::Free, ..Remarks::default() };
-    servers.hear(key, &free, at(0), at(2));
+    let free = Remarks { limit: LimitRemark::Unlimited, ..Remarks::default() };
+    servers.handle_remarks(key, &free, at(0), at(2));
     assert!(servers.is_backing_off(key, at(4)));
     assert!(!servers.is_backing_off(key, at(5)));
-    assert!(servers.hear(key, &rests(1), at(6), at(6)).backs_off);
+    assert!(servers.handle_remarks(key, &rests(1), at(6), at(6)).backs_off);
     assert!(servers.is_backing_off(key, at(6)) && !servers.is_backing_off(key, at(7)));
 }
 
@@ -107,7 +107,7 @@
     let (mut servers, now) = (Servers::default(), Instant::now());
     let key = idle_server(&mut servers);
     let endless = Remarks { backoff: Some(Duration::MAX), ..Remarks::default() };
-    assert!(!servers.hear(key, &endless, now, now).backs_off);
+    assert!(!servers.handle_remarks(key, &endless, now, now).backs_off);
     assert!(!servers.is_backing_off(key, now));
 }
 
@@ -116,7 +116,7 @@
     let (mut servers, now) = (Servers::default(), Instant::now());
     let key = idle_server(&mut servers);
     let record = servers.get(key).unwrap().record.clone();
-    servers.hear(key, &rests(60), now, now);
+    servers.handle_remarks(key, &rests(60), now, now);
     servers.remove(&record.id);
     servers.upsert(record.clone(), now);
     let again = servers.find(&record.id).unwrap();
@@ -126,6 +126,6 @@
         0,
         "no peer is told"
     );
-    servers.upsert(ServerRecord { born: Some(7), ..record.clone() }, now);
+    servers.upsert(ServerRecord { started_ms: Some(7), ..record.clone() }, now);
     assert!(!servers.is_backing_off(servers.find(&record.id).unwrap(), now));
 }
--- a/tests/rollouts.rs
+++ b/tests/rollouts.rs
@@ -505,7 +505,7 @@
 fn server(servers: &mut Servers, id: &str, version: &str, now: Instant) -> ServerKey {
     let record = ServerRecord {
         id: id.into(),
-        born: None,
+        started_ms: None,
         service: SERVICE.into(),
         version: version.into(),
         addr: "127.0.0.1:9".parse().unwrap(),
@@ -533,11 +533,11 @@
     assert!(servers.observations(now).leaving.is_empty(), "it is no word of the server itself");
     // A server that comes later, and one whose entry changes.
     let late = server(&mut servers, "i-3", "v1", now);
-    assert!(!servers.get(late).unwrap().open());
+    assert!(!servers.get(late).unwrap().is_open());
     server(&mut servers, "i-1", "v1", now);
-    assert!(!servers.get(old).unwrap().open());
+    assert!(!servers.get(old).unwrap().is_open());
     // Back in use, unless it leaves by its own word.
-    servers.leaves(late, now);
+    servers.mark_leaving(late, now);
     servers.retire(&service, Some(Retired::Version("v2".into())));
     let open: Vec<ServerKey> = servers.open(SERVICE).map(|(key, _)| key).collect();
     assert_eq!(open, [old]);
