--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -22,7 +22,7 @@
 use tidestair::gateway::mirror::Mirror;
 use tidestair::gateway::partner::{Relation, SumSchedule};
 use tidestair::gateway::place::{
-    ALIKE, Candidate, Headroom, PlacementRequest, Placing, UNSEEN_COST,
+    COST_TOLERANCE, Candidate, Headroom, PlacementPolicy, PlacementRequest, STALE_REMOTE_HALL_COST,
 };
 use tidestair::gateway::port::{Change, Entry};
 use tidestair::gateway::quarantine::{Quarantine, Run};
@@ -50,8 +50,8 @@
     token_bytes: 131_072,
     link_mbps: 19_000.0,
     event_tokens: 4,
-    moves: true,
-    backups: true,
+    supports_moves: true,
+    supports_backups: true,
 };
 
 const LOAD: Load = Load {
@@ -151,7 +151,8 @@
 fn copy(halls: usize, daemons: usize, servers: usize, note: &mut impl FnMut(&str, f64)) {
     let now = Instant::now();
     let budget = BudgetBounds { ratio: 0.2, slack: 1.0, window: Duration::from_secs(1) };
-    let bounds = Bounds { revoke: None, budget, cold: ColdBounds::default(), exposure: 0.1 };
+    let bounds =
+        Bounds { revocation_delay: None, budget, cold: ColdBounds::default(), exposure: 0.1 };
     let (wire, placing) = (Arc::new(NoWire), Box::new(Headroom));
     let gateway = Gateway::new("hall-0", Regions::default(), bounds, wire, placing, now);
     let roster = Arc::new(Roster::new(daemon(halls, 0)));
@@ -222,9 +223,9 @@
 fn choice(servers: &Servers) -> f64 {
     let need = PlacementRequest {
         hall: "hall-0",
-        far: UNSEEN_COST,
-        alike: ALIKE,
-        unseen: 2.0,
+        remote_cost: STALE_REMOTE_HALL_COST,
+        cost_tolerance: COST_TOLERANCE,
+        unreported_requests: 2.0,
         load: LOAD,
         engine: Some(&ENGINE),
     };
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -36,16 +36,16 @@
 const READ_PER_MS: f64 = 6.0;
 /// The same of the slowest engine beside a full batch: two times the step, on a server that is 1.3 times as
 /// slow as others.
-const LEAST_READ_PER_MS: f64 = 2.5;
+const MIN_READ_PER_MS: f64 = 2.5;
 /// Least time after which a refused caller comes back: a server of six runs of some seven seconds ends one of
 /// them about so often, which is when it has room for another one.
-const LEAST_AWAY: Duration = Duration::from_millis(1_000);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 /// Part of the time to come back that is drawn at random, up and down, so that those refused together don't
 /// come together.
-const SPREAD: f64 = 0.4;
+const JITTER: f64 = 0.4;
 /// Time that a caller must have spent before, of that which its route gives, to count as one that comes back:
 /// more than its way here takes.
-const SPENT_BEFORE: Duration = Duration::from_millis(250);
+const MIN_TIME_SPENT: Duration = Duration::from_millis(250);
 
 /// How a request stands to those that wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -61,7 +61,7 @@
 impl AdmissionClass {
     /// The standing of a caller that has so much of its route's time left.
     pub fn of(left: Duration, whole: Duration) -> AdmissionClass {
-        match whole.saturating_sub(left) >= SPENT_BEFORE {
+        match whole.saturating_sub(left) >= MIN_TIME_SPENT {
             true => AdmissionClass::Returned,
             false => AdmissionClass::Newcomer,
         }
@@ -72,14 +72,14 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bound {
     /// Tokens of prompts that are still to be read.
-    waiting: f64,
+    waiting_tokens: f64,
     /// Memory that its runs need at their longest, in tokens.
     memory: f64,
 }
 
 impl Bound {
     /// Whatever there is.
-    pub const NONE: Bound = Bound { waiting: f64::INFINITY, memory: f64::INFINITY };
+    pub const NONE: Bound = Bound { waiting_tokens: f64::INFINITY, memory: f64::INFINITY };
 
     /// The bound for such a request, where its service aims at `aim`.
     pub fn of(aim: Duration, engine: &Engine, admission_class: AdmissionClass) -> Bound {
@@ -89,30 +89,30 @@
             AdmissionClass::Begun => return Bound::NONE,
         };
         let waiting = aim.as_secs_f64() * 1_000.0 * per_ms;
-        Bound { waiting, memory: f64::from(engine.memory) * fraction }
+        Bound { waiting_tokens: waiting, memory: f64::from(engine.memory) * fraction }
     }
 
     /// Whether a server with such a load takes one more. One at which nothing waits and runs takes any.
-    pub fn holds(self, load: Load) -> bool {
-        let fits =
-            f64::from(load.unread_prompt) <= self.waiting && f64::from(load.tokens) <= self.memory;
+    pub fn admits(self, load: Load) -> bool {
+        let fits = f64::from(load.unread_prompt) <= self.waiting_tokens
+            && f64::from(load.tokens) <= self.memory;
         fits || load.runs == 0
     }
 }
 
 /// When a caller is to come back that was refused at a server where so many tokens wait: by then they are
 /// read, and some run there has ended.
-pub fn come_back(waiting: u32, rng: &mut dyn Rng) -> Duration {
-    let read = reading_time(waiting, READ_PER_MS).max(LEAST_AWAY);
-    read.mul_f64(1.0 + SPREAD * rng.random_range(-1.0..1.0))
+pub fn retry_after(waiting: u32, rng: &mut dyn Rng) -> Duration {
+    let read = prompt_read_time(waiting, READ_PER_MS).max(MIN_RETRY_AFTER);
+    read.mul_f64(1.0 + JITTER * rng.random_range(-1.0..1.0))
 }
 
 /// How long a stream is waited for whose server had so many tokens to read, its own among them: while they
 /// may still be read, it is slow and not lost, and to send it elsewhere would have its prompt read twice.
-pub fn patience(aim: Duration, tokens: u32) -> Duration {
-    aim + reading_time(tokens, LEAST_READ_PER_MS)
+pub fn first_event_timeout(aim: Duration, tokens: u32) -> Duration {
+    aim + prompt_read_time(tokens, MIN_READ_PER_MS)
 }
 
-fn reading_time(tokens: u32, per_ms: f64) -> Duration {
+fn prompt_read_time(tokens: u32, per_ms: f64) -> Duration {
     Duration::from_secs_f64(f64::from(tokens) / per_ms / 1_000.0)
 }
--- a/src/gateway/budget.rs
+++ b/src/gateway/budget.rs
@@ -39,13 +39,13 @@
     /// Requests.
     pub requests: u32,
     /// Sendings beyond the first of each.
-    pub repeats: u32,
+    pub retries: u32,
 }
 
 impl AddAssign for Spent {
     fn add_assign(&mut self, other: Spent) {
         self.requests += other.requests;
-        self.repeats += other.repeats;
+        self.retries += other.retries;
     }
 }
 
@@ -59,12 +59,12 @@
     /// What those have spent.
     pub spent: HashMap<Tag, Spent>,
     /// The daemons of this one's cell among them.
-    pub near: Near,
+    pub cell_peers: CellPeers,
 }
 
 /// The daemons of a cell, as one of them hears the others.
 #[derive(Debug)]
-pub struct Near {
+pub struct CellPeers {
     /// The tag of this daemon's name.
     pub own: Tag,
     /// Those of the others.
@@ -73,14 +73,14 @@
     pub spent: HashMap<Tag, Spent>,
 }
 
-impl Default for Near {
+impl Default for CellPeers {
     /// A cell of one.
-    fn default() -> Near {
-        Near { own: Tag::of_number(0), others: Vec::new(), spent: HashMap::new() }
+    fn default() -> CellPeers {
+        CellPeers { own: Tag::of_number(0), others: Vec::new(), spent: HashMap::new() }
     }
 }
 
-impl Near {
+impl CellPeers {
     /// How many daemons there are, this one included.
     pub fn count(&self) -> usize {
         self.others.len() + 1
@@ -110,11 +110,11 @@
     }
 
     fn sum(&self) -> Spent {
-        self.before(u64::MAX)
+        self.sum_before(u64::MAX)
     }
 
     /// What was counted before a slice.
-    fn before(&self, number: u64) -> Spent {
+    fn sum_before(&self, number: u64) -> Spent {
         let mut sum = Spent::default();
         for (_, slice) in self.slices.iter().filter(|(n, _)| *n < number) {
             sum += *slice;
@@ -125,57 +125,62 @@
 
 /// What a repeat is for; the more is lost without it, the more of the budget it may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryKind {
     /// Carries a running request over to another replica.
     Continuation,
     /// Sends a request again after a failure or a refusal.
     Retry,
 }
 
-impl Repeat {
+impl RetryKind {
     /// Part of the budget up to which such repeats are allowed.
     fn budget_fraction(self) -> f64 {
         match self {
-            Repeat::Continuation => 1.0,
-            Repeat::Retry => 0.8,
+            RetryKind::Continuation => 1.0,
+            RetryKind::Retry => 0.8,
         }
     }
 }
 
 /// See the module.
 #[derive(Debug)]
-pub struct RepeatBudget {
+pub struct SharedRetryBudget {
     bounds: BudgetBounds,
     started: Instant,
     services: HashMap<Arc<str>, Window>,
     others: Others,
 }
 
-impl RepeatBudget {
+impl SharedRetryBudget {
     /// A budget of which nothing is spent.
-    pub fn new(bounds: BudgetBounds, now: Instant) -> RepeatBudget {
-        RepeatBudget { bounds, started: now, services: HashMap::new(), others: Others::default() }
+    pub fn new(bounds: BudgetBounds, now: Instant) -> SharedRetryBudget {
+        SharedRetryBudget {
+            bounds,
+            started: now,
+            services: HashMap::new(),
+            others: Others::default(),
+        }
     }
 
     /// Notes a request for a service.
     pub fn request(&mut self, service: &Arc<str>, now: Instant) {
-        let number = self.number(now);
+        let number = self.slice_number(now);
         self.window(service).slice(number).requests += 1;
     }
 
     /// Spends one repeat where what all daemons have spent allows it.
-    pub fn take(&mut self, service: &Arc<str>, repeat: Repeat, now: Instant) -> bool {
+    pub fn spend(&mut self, service: &Arc<str>, repeat: RetryKind, now: Instant) -> bool {
         let allowed = self.allows(service, repeat, now);
         if allowed {
-            let number = self.number(now);
-            self.window(service).slice(number).repeats += 1;
+            let number = self.slice_number(now);
+            self.window(service).slice(number).retries += 1;
         }
         allowed
     }
 
     /// Whether what all daemons have spent allows one more repeat.
-    pub fn allows(&mut self, service: &Arc<str>, repeat: Repeat, now: Instant) -> bool {
-        let number = self.number(now);
+    pub fn allows(&mut self, service: &Arc<str>, repeat: RetryKind, now: Instant) -> bool {
+        let number = self.slice_number(now);
         let all = self.others.daemons as f64 + 1.0;
         let unheard = self.others.daemons.saturating_sub(self.others.reachable) as f64;
         let told = self.others.spent.get(&Tag::of(service)).copied().unwrap_or_default();
@@ -185,13 +190,13 @@
         let own = window.sum();
         let requests = f64::from(own.requests + told.requests);
         let slack = bounds.slack * (1.0 - unheard / all);
-        let spent = f64::from(own.repeats + told.repeats + 1);
+        let spent = f64::from(own.retries + told.retries + 1);
         spent <= (bounds.ratio * requests + slack) * USED_FRACTION * repeat.budget_fraction()
     }
 
     /// Requests for a service a second, of all daemons that are heard.
     pub fn rate(&mut self, service: &Arc<str>, now: Instant) -> f64 {
-        let number = self.number(now);
+        let number = self.slice_number(now);
         let told = self.others.spent.get(&Tag::of(service)).map_or(0, |spent| spent.requests);
         let counted = now.saturating_duration_since(self.started).min(self.bounds.window);
         let window = self.window(service);
@@ -209,7 +214,7 @@
     /// This daemon's part of the requests for a service of all daemons. Those that are not heard are taken to
     /// have as many each as the others; the parts of all daemons add up to one.
     pub fn request_fraction(&mut self, service: &Arc<str>, now: Instant) -> f64 {
-        let number = self.number(now);
+        let number = self.slice_number(now);
         let told = self.others.spent.get(&Tag::of(service)).map_or(0, |spent| spent.requests);
         let all = self.others.daemons as f64 + 1.0;
         let reachable = self.others.reachable as f64 + 1.0;
@@ -217,7 +222,7 @@
         window.slice(number);
         // What others told is some tenths of a second old, so that with what has just come here, each daemon
         // would take its own part for larger than it is when many requests begin to come.
-        let own = f64::from(window.before(number).requests);
+        let own = f64::from(window.sum_before(number).requests);
         let requests = (own + f64::from(told)) * (all / reachable).max(1.0);
         (own + ASSUMED_REQUESTS) / (requests + ASSUMED_REQUESTS * all)
     }
@@ -226,27 +231,27 @@
     pub fn cell_fraction(&mut self, service: &Arc<str>, now: Instant) -> f64 {
         let tag = Tag::of(service);
         let told = |spent: &HashMap<Tag, Spent>| spent.get(&tag).map_or(0, |spent| spent.requests);
-        let (told, near) = (told(&self.others.spent), told(&self.others.near.spent));
-        let daemons = self.others.near.count() as f64;
+        let (told, near) = (told(&self.others.spent), told(&self.others.cell_peers.spent));
+        let daemons = self.others.cell_peers.count() as f64;
         let all = self.others.daemons as f64 + 1.0;
         let reachable = self.others.reachable as f64 + 1.0;
-        let number = self.number(now);
+        let number = self.slice_number(now);
         let window = self.window(service);
         window.slice(number);
-        let own = f64::from(window.before(number).requests);
+        let own = f64::from(window.sum_before(number).requests);
         let requests = (own + f64::from(told)) * (all / reachable).max(1.0);
         let cell = own + f64::from(near);
         (cell + ASSUMED_REQUESTS * daemons) / (requests + ASSUMED_REQUESTS * all)
     }
 
     /// The daemons of this one's cell.
-    pub fn near(&self) -> &Near {
-        &self.others.near
+    pub fn cell_peers(&self) -> &CellPeers {
+        &self.others.cell_peers
     }
 
     /// What this daemon has spent within the window.
     pub fn spent(&mut self, now: Instant) -> Vec<(Tag, Spent)> {
-        let number = self.number(now);
+        let number = self.slice_number(now);
         let windows = self.services.iter_mut();
         let sums = windows.map(|(service, window)| {
             window.slice(number);
@@ -272,7 +277,7 @@
         self.services.entry(service.clone()).or_default()
     }
 
-    fn number(&self, now: Instant) -> u64 {
+    fn slice_number(&self, now: Instant) -> u64 {
         let slice = self.bounds.window / SLICES;
         let elapsed = now.saturating_duration_since(self.started);
         (elapsed.as_millis() / slice.as_millis().max(1)) as u64
--- a/src/gateway/cluster.rs
+++ b/src/gateway/cluster.rs
@@ -12,7 +12,7 @@
 
 use crate::error::Result;
 use crate::gateway::clock::{Clock, millis_between, minus_millis};
-use crate::gateway::core::{Gateway, Hearing, Wanted};
+use crate::gateway::core::{Gateway, LimitedServer, PeerSource};
 use crate::gateway::heartbeat::{DaemonStats, Heartbeat, Request};
 use crate::gateway::metrics::GatewayMetrics;
 use crate::gateway::mirror::Mirror;
@@ -133,7 +133,7 @@
             giving: Semaphore::new(MOST_GIVEN),
         });
         let hearing = Arc::downgrade(&cluster);
-        cluster.gateway.hear_from(hearing);
+        cluster.gateway.set_peer_source(hearing);
         cluster
     }
 
@@ -247,7 +247,7 @@
         self.gateway.metrics.peers.set(view.count(now) as i64);
         self.gateway.set_others(view.spent(count, now));
         self.gateway.set_divided(view.layout().divided);
-        self.gateway.set_late(view.summarized_fraction(now));
+        self.gateway.set_delayed_share(view.summarized_fraction(now));
         self.gateway.set_rank(rank);
         drop(view);
         // What was not told again in time no longer counts.
@@ -488,16 +488,16 @@
     }
 }
 
-impl Hearing for Cluster {
+impl PeerSource for Cluster {
     fn peer_stats(&self, now: Instant) -> Option<PeerStats> {
         self.unheard.swap(false, Ordering::AcqRel).then(|| self.view().peer_stats(now))
     }
 
-    fn ahead(&self, server: Tag, now: Instant) -> Load {
+    fn higher_ranked_load(&self, server: Tag, now: Instant) -> Load {
         self.view().higher_ranked_load(server, now)
     }
 
-    fn borrow_quota(&self, wanted: Vec<Wanted>) -> BoxFuture<'_, Option<Tag>> {
+    fn borrow_quota(&self, wanted: Vec<LimitedServer>) -> BoxFuture<'_, Option<Tag>> {
         Box::pin(self.request_quota(wanted))
     }
 }
--- a/src/gateway/cluster/quota.rs
+++ b/src/gateway/cluster/quota.rs
@@ -2,7 +2,7 @@
 
 use super::Cluster;
 use crate::gateway::cell::first_in_each_hall;
-use crate::gateway::core::Wanted;
+use crate::gateway::core::LimitedServer;
 use crate::gateway::heartbeat::Request;
 use crate::gateway::tag::Tag;
 use crate::peer::NoAnswer;
@@ -29,11 +29,11 @@
 
 impl Cluster {
     /// Asks them, within a time that a caller may wait. What one of them gives later goes unused.
-    pub(super) async fn request_quota(&self, wanted: Vec<Wanted>) -> Option<Tag> {
+    pub(super) async fn request_quota(&self, wanted: Vec<LimitedServer>) -> Option<Tag> {
         timeout(TOTAL_QUOTA_TIMEOUT, self.ask_lenders(wanted)).await.unwrap_or(None)
     }
 
-    async fn ask_lenders(&self, wanted: Vec<Wanted>) -> Option<Tag> {
+    async fn ask_lenders(&self, wanted: Vec<LimitedServer>) -> Option<Tag> {
         let handler = self.own.upgrade()?.handler();
         let servers: Vec<Tag> = wanted.iter().map(|w| w.server).collect();
         for peer in self.lenders(&wanted, time::now()) {
@@ -52,7 +52,7 @@
     }
 
     /// Daemons that may hold room at servers in need, in an order drawn at random: those of the same cell first.
-    fn lenders(&self, wanted: &[Wanted], now: Instant) -> Vec<SocketAddr> {
+    fn lenders(&self, wanted: &[LimitedServer], now: Instant) -> Vec<SocketAddr> {
         let view = self.view();
         let near = wanted.iter().flat_map(|w| view.quota_holders_in_cell(w.server, w.holders, now));
         let mut lenders = drawn(near, MOST_ASKED);
--- a/src/gateway/core.rs
+++ b/src/gateway/core.rs
@@ -1,10 +1,10 @@
 //! The state that all requests of one daemon share.
 
-use crate::gateway::budget::{BudgetBounds, Others, Repeat, RepeatBudget, Spent};
+use crate::gateway::budget::{BudgetBounds, Others, RetryKind, SharedRetryBudget, Spent};
 use crate::gateway::cold::{ColdBounds, Rank};
 use crate::gateway::in_force::InForce;
 use crate::gateway::metrics::GatewayMetrics;
-use crate::gateway::place::Placing;
+use crate::gateway::place::PlacementPolicy;
 use crate::gateway::port::Wire;
 use crate::gateway::promises::Promises;
 use crate::gateway::quarantine::Quarantine;
@@ -13,7 +13,7 @@
 use crate::gateway::rollout::Rollouts;
 use crate::gateway::roster::Roster;
 use crate::gateway::servers::{Load, PeerStats, Server, ServerKey, Servers};
-use crate::gateway::table::{Homes, Service};
+use crate::gateway::table::{RegionList, Service};
 use crate::gateway::tag::Tag;
 use crate::time;
 use futures_util::future::BoxFuture;
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
     /// Longest time after which a key that was taken away may still be used; `None` where it is not strict.
-    pub revoke: Option<Duration>,
+    pub revocation_delay: Option<Duration>,
     /// Budget for repeats.
     pub budget: BudgetBounds,
     /// What a cold server may get.
@@ -42,7 +42,7 @@
 const FRESH_FRACTION: f64 = 0.7;
 
 /// Time before the end of the process by which answers should be complete.
-const LAST_ANSWER: Duration = Duration::from_millis(500);
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(500);
 
 /// Tokens of a request from which its beginning and end are told to other daemons at once. What is
 /// smaller, as a plain service's requests are, goes with the next heartbeat.
@@ -50,23 +50,23 @@
 
 /// Daemons of a region that a caller is told of though this one does not hear them: as many as an answer
 /// may name.
-const MOST_LISTED: usize = 64;
+const MAX_LISTED: usize = 64;
 
 /// What this daemon hears of the others. It is asked for when it is needed: heartbeats come many times as
 /// often as requests, and to add up what hundreds of daemons told of thousands of servers takes 0.5 ms.
-pub trait Hearing: Send + Sync {
+pub trait PeerSource: Send + Sync {
     /// What the others have running; `None` where nothing has come since it was last asked for.
     fn peer_stats(&self, now: Instant) -> Option<PeerStats>;
     /// What the daemons of the same cell that rank before this one have running at a server.
-    fn ahead(&self, server: Tag, now: Instant) -> Load;
+    fn higher_ranked_load(&self, server: Tag, now: Instant) -> Load;
     /// Asks other daemons for room for one request at one of these servers, which are in need. Says at
     /// which one it was given.
-    fn borrow_quota(&self, wanted: Vec<Wanted>) -> BoxFuture<'_, Option<Tag>>;
+    fn borrow_quota(&self, wanted: Vec<LimitedServer>) -> BoxFuture<'_, Option<Tag>>;
 }
 
 /// A server at which room for a request is wanted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Wanted {
+pub struct LimitedServer {
     /// The server.
     pub server: Tag,
     /// How many daemons of the cell hold room there.
@@ -85,13 +85,13 @@
     pub hall: String,
     /// Which hall is in which region.
     pub regions: Regions,
-    revoke: Mutex<Option<Duration>>,
+    revocation_delay: Mutex<Option<Duration>>,
     /// What a cold server may get, and this daemon's place among those that share it.
     pub(super) cold: Mutex<(ColdBounds, Rank)>,
-    pub(super) placing: Box<dyn Placing>,
-    hearing: OnceLock<Weak<dyn Hearing>>,
+    pub(super) placement_policy: Box<dyn PlacementPolicy>,
+    peer_source: OnceLock<Weak<dyn PeerSource>>,
     servers: Mutex<Servers>,
-    budget: Mutex<RepeatBudget>,
+    budget: Mutex<SharedRetryBudget>,
     quarantine: Mutex<Quarantine>,
     pub(super) rollouts: Mutex<Rollouts>,
     /// Tells that a roll-out was ordered or has come further.
@@ -102,9 +102,9 @@
     /// Whether loads in other halls are told late, in sums.
     pub(super) divided: AtomicBool,
     /// Share of all daemons that are of this hall and tell their loads late, in sums.
-    pub(super) late: Mutex<f64>,
+    pub(super) delayed_share: Mutex<f64>,
     /// When the process ends, once a planned stop has begun.
-    ends: Mutex<Option<Instant>>,
+    shutdown_deadline: Mutex<Option<Instant>>,
     /// Counts what other daemons should hear at once.
     urgent_changes: watch::Sender<u64>,
     /// Counts changes of this daemon's copy of the store.
@@ -114,11 +114,11 @@
     /// Counts changes of what this daemon has running.
     load_changes: watch::Sender<u64>,
     /// Tells that work went to a server.
-    pub(super) work: Notify,
+    pub(super) work_started: Notify,
     /// Tells that a request may be kept back from now on.
     pub(super) quarantine_changed: Notify,
     /// Turns of this daemon's own runs that move away from a server.
-    turns: Mutex<HashMap<ServerKey, Weak<Semaphore>>>,
+    move_permits: Mutex<HashMap<ServerKey, Weak<Semaphore>>>,
 }
 
 impl Gateway {
@@ -128,7 +128,7 @@
         regions: Regions,
         bounds: Bounds,
         wire: Arc<dyn Wire>,
-        placing: Box<dyn Placing>,
+        placing: Box<dyn PlacementPolicy>,
         now: Instant,
     ) -> Arc<Gateway> {
         Arc::new(Gateway {
@@ -137,33 +137,33 @@
             metrics: GatewayMetrics::default(),
             hall: hall.into(),
             regions,
-            revoke: Mutex::new(bounds.revoke),
+            revocation_delay: Mutex::new(bounds.revocation_delay),
             cold: Mutex::new((bounds.cold, Rank::default())),
-            placing,
-            hearing: OnceLock::new(),
+            placement_policy: placing,
+            peer_source: OnceLock::new(),
             servers: Mutex::default(),
-            budget: Mutex::new(RepeatBudget::new(bounds.budget, now)),
+            budget: Mutex::new(SharedRetryBudget::new(bounds.budget, now)),
             quarantine: Mutex::default(),
             rollouts: Mutex::default(),
             rollout_changed: Notify::new(),
             exposure: Mutex::new(bounds.exposure),
             promises: Mutex::default(),
             divided: AtomicBool::new(false),
-            late: Mutex::new(0.0),
-            ends: Mutex::default(),
+            delayed_share: Mutex::new(0.0),
+            shutdown_deadline: Mutex::default(),
             urgent_changes: watch::Sender::new(0),
             copy_changes: watch::Sender::new(0),
             era: watch::Sender::new(0),
             load_changes: watch::Sender::new(0),
-            work: Notify::new(),
+            work_started: Notify::new(),
             quarantine_changed: Notify::new(),
-            turns: Mutex::default(),
+            move_permits: Mutex::default(),
         })
     }
 
     /// Takes over bounds that the platform has changed.
     pub fn set_bounds(&self, bounds: Bounds) {
-        *self.revoke.lock().expect("no holder panics") = bounds.revoke;
+        *self.revocation_delay.lock().expect("no holder panics") = bounds.revocation_delay;
         self.cold.lock().expect("no holder panics").0 = bounds.cold;
         *self.exposure.lock().expect("no holder panics") = bounds.exposure;
         self.budget().set_bounds(bounds.budget);
@@ -180,23 +180,23 @@
     }
 
     /// Sets the share of all daemons that are of this hall and tell their loads late, in sums.
-    pub fn set_late(&self, share: f64) {
-        *self.late.lock().expect("no holder panics") = share;
+    pub fn set_delayed_share(&self, share: f64) {
+        *self.delayed_share.lock().expect("no holder panics") = share;
     }
 
     /// Sets from where it hears of other daemons; only the first one counts.
-    pub fn hear_from(&self, hearing: Weak<dyn Hearing>) {
-        self.hearing.get_or_init(|| hearing);
+    pub fn set_peer_source(&self, hearing: Weak<dyn PeerSource>) {
+        self.peer_source.get_or_init(|| hearing);
     }
 
-    pub(super) fn hearing(&self) -> Option<Arc<dyn Hearing>> {
-        self.hearing.get()?.upgrade()
+    pub(super) fn peer_source(&self) -> Option<Arc<dyn PeerSource>> {
+        self.peer_source.get()?.upgrade()
     }
 
     /// What the daemons of the same cell that rank before this one have running at a server.
-    pub(crate) fn ahead(&self, server: ServerKey, now: Instant) -> Load {
+    pub(crate) fn higher_ranked_load(&self, server: ServerKey, now: Instant) -> Load {
         let tag = self.servers().get(server).map(Server::tag);
-        let ahead = tag.and_then(|tag| Some(self.hearing()?.ahead(tag, now)));
+        let ahead = tag.and_then(|tag| Some(self.peer_source()?.higher_ranked_load(tag, now)));
         ahead.unwrap_or_default()
     }
 
@@ -206,35 +206,35 @@
     }
 
     /// A planned stop has begun, and the process ends then.
-    pub fn set_end(&self, end: Instant) {
-        *self.ends.lock().expect("no holder panics") = Some(end);
-        self.tell();
+    pub fn set_shutdown_deadline(&self, end: Instant) {
+        *self.shutdown_deadline.lock().expect("no holder panics") = Some(end);
+        self.signal_urgent_change();
     }
 
     /// Whether a request can be answered before the process ends: a stream that could outlast it is
     /// for another daemon to begin.
-    pub fn outlasts(&self, call: &Call, now: Instant) -> bool {
-        let ends = *self.ends.lock().expect("no holder panics");
+    pub fn can_finish(&self, call: &Call, now: Instant) -> bool {
+        let ends = *self.shutdown_deadline.lock().expect("no holder panics");
         ends.is_none_or(|end| {
-            let left = end.saturating_duration_since(now).saturating_sub(LAST_ANSWER);
+            let left = end.saturating_duration_since(now).saturating_sub(SHUTDOWN_MARGIN);
             call.route.repeatable() || call.size.longest() <= left
         })
     }
 
     /// Something happened that other daemons should hear at once.
-    pub fn tell(&self) {
+    pub fn signal_urgent_change(&self) {
         self.urgent_changes.send_modify(|count| *count += 1);
     }
 
     /// What this daemon has running has changed.
-    pub(super) fn tell_load(&self, load: Load) {
+    pub(super) fn signal_load_change(&self, load: Load) {
         if load.tokens >= REPORTED_TOKENS {
             self.load_changes.send_modify(|count| *count += 1);
         }
     }
 
     /// Something changed in this daemon's copy of the store.
-    pub(super) fn tell_copy(&self) {
+    pub(super) fn signal_copy_change(&self) {
         self.copy_changes.send_modify(|count| *count += 1);
     }
 
@@ -276,8 +276,8 @@
     }
 
     /// The turn of this daemon's own runs that move away from a server: one at a time.
-    pub(crate) fn turn(&self, server: ServerKey) -> Arc<Semaphore> {
-        let mut turns = self.turns.lock().expect("no holder panics");
+    pub(crate) fn move_permit(&self, server: ServerKey) -> Arc<Semaphore> {
+        let mut turns = self.move_permits.lock().expect("no holder panics");
         turns.retain(|_, turn| turn.strong_count() > 0);
         if let Some(turn) = turns.get(&server).and_then(Weak::upgrade) {
             return turn;
@@ -298,7 +298,7 @@
     }
 
     /// Notes how old this daemon's knowledge of the store is as it sends a request.
-    pub(crate) fn note_knowledge(&self, now: Instant) -> Option<Duration> {
+    pub(crate) fn record_store_age(&self, now: Instant) -> Option<Duration> {
         let age = self.in_force.age(now)?;
         self.metrics.knowledge_seconds.observe(age.as_secs_f64());
         Some(age)
@@ -309,12 +309,12 @@
         let Some(age) = self.in_force.age(now) else {
             return false;
         };
-        let bound = *self.revoke.lock().expect("no holder panics");
+        let bound = *self.revocation_delay.lock().expect("no holder panics");
         bound.is_none_or(|bound| age <= bound.mul_f64(FRESH_FRACTION))
     }
 
     /// Whether the caller of a request still holds its key, as far as may be relied on now.
-    pub fn may_send(&self, call: &Call, now: Instant) -> bool {
+    pub fn is_authorized(&self, call: &Call, now: Instant) -> bool {
         let Some(credential) = &call.credential else {
             return true;
         };
@@ -344,7 +344,8 @@
         region: &str,
     ) -> Vec<SocketAddr> {
         let declared = self.in_force.get();
-        let homes: Vec<&Homes> = declared.iter().flat_map(|d| d.table.homes(host)).collect();
+        let homes: Vec<&RegionList> =
+            declared.iter().flat_map(|d| d.table.allowed_regions(host)).collect();
         if homes.is_empty() {
             return found;
         }
@@ -356,7 +357,7 @@
         let near = |all: &[SocketAddr]| -> Vec<SocketAddr> {
             all.iter().copied().filter(is_near).collect()
         };
-        let listed = || halls.keys().copied().filter(is_near).take(MOST_LISTED).collect::<Vec<_>>();
+        let listed = || halls.keys().copied().filter(is_near).take(MAX_LISTED).collect::<Vec<_>>();
         let nearest = Some(near(&found)).filter(|near| !near.is_empty());
         let nearest = nearest.or_else(|| Some(near(&further())).filter(|near| !near.is_empty()));
         let nearest = nearest.or_else(|| Some(near(&listed())).filter(|near| !near.is_empty()));
@@ -366,11 +367,11 @@
     /// Where a request may go: the regions of its route and of its workspace both bind.
     pub(super) fn allowed<'a>(&'a self, call: &'a Call) -> AllowedRegions<'a> {
         let workspace = call.credential.as_ref().map(|credential| &credential.homes);
-        AllowedRegions { regions: &self.regions, route: &call.route.homes, workspace }
+        AllowedRegions { regions: &self.regions, route: &call.route.allowed_regions, workspace }
     }
 
     /// Notes how an exchange with a server went; other daemons hear of a failure soon.
-    pub(crate) fn judge(&self, server: ServerKey, failed: bool) {
+    pub(crate) fn record_result(&self, server: ServerKey, failed: bool) {
         self.servers().record_outcome(server, failed, time::now());
         if failed {
             self.load_changes.send_modify(|count| *count += 1);
@@ -393,13 +394,13 @@
     }
 
     /// Whether the shared budget allows one more repeat.
-    pub fn has_repeat(&self, service: &Arc<str>, repeat: Repeat, now: Instant) -> bool {
+    pub fn allows_retry(&self, service: &Arc<str>, repeat: RetryKind, now: Instant) -> bool {
         self.budget().allows(service, repeat, now)
     }
 
     /// Spends one repeat, if the shared budget allows it.
-    pub fn take_repeat(&self, service: &Arc<str>, repeat: Repeat, now: Instant) -> bool {
-        self.budget().take(service, repeat, now)
+    pub fn spend_retry(&self, service: &Arc<str>, repeat: RetryKind, now: Instant) -> bool {
+        self.budget().spend(service, repeat, now)
     }
 
     /// What this daemon has spent of the shared budget.
@@ -412,7 +413,7 @@
         self.budget().set_others(others);
     }
 
-    pub(super) fn budget(&self) -> MutexGuard<'_, RepeatBudget> {
+    pub(super) fn budget(&self) -> MutexGuard<'_, SharedRetryBudget> {
         self.budget.lock().expect("no holder panics")
     }
 }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -131,7 +131,7 @@
     async fn slot_or_borrow(&self) -> Result<Slot, NoSlot> {
         let now = time::now();
         match self.next_slot(now) {
-            Err(why) if why.why == SERVERS_IN_NEED => {
+            Err(why) if why.reason == SERVERS_IN_NEED => {
                 match self.gateway.borrow_quota(&self.service, self.call, &self.tried, now).await {
                     true => self.next_slot(time::now()),
                     false => Err(why),
@@ -143,10 +143,10 @@
 
     /// The next server to try, where the rules and the budget allow one.
     fn next_slot(&self, now: Instant) -> Result<Slot, NoSlot> {
-        if !self.gateway.may_send(self.call, now) {
+        if !self.gateway.is_authorized(self.call, now) {
             return Err("key_not_confirmed".into());
         }
-        if !self.gateway.outlasts(self.call, now) {
+        if !self.gateway.can_finish(self.call, now) {
             return Err("daemon_leaves".into());
         }
         let arrived = self.tried.len() - self.unreached;
@@ -162,7 +162,13 @@
             }
             _ => {
                 let admission_class = AdmissionClass::Returned;
-                self.gateway.slot_again(&self.service, self.call, admission_class, &self.tried, now)
+                self.gateway.slot_for_retry(
+                    &self.service,
+                    self.call,
+                    admission_class,
+                    &self.tried,
+                    now,
+                )
             }
         }
     }
@@ -178,14 +184,14 @@
 
     /// Sends; a silent server is given up in time for another one where that may run too.
     async fn send_patiently(&self, slot: Slot, proof: Option<NotSent>) -> Sent {
-        let (key, trial) = (slot.key(), slot.trial);
+        let (key, trial) = (slot.key(), slot.rollout_sample);
         let Some(limit) = self.patience(&slot) else {
             return self.send(slot, proof).await;
         };
         timeout(limit, self.send(slot, proof)).await.unwrap_or_else(|_| {
-            self.gateway.judge(key, true);
+            self.gateway.record_result(key, true);
             if let Some(trial) = trial {
-                self.gateway.note_trial(trial, true);
+                self.gateway.record_rollout_sample(trial, true);
             }
             Sent::Failed(None, "silent")
         })
@@ -194,10 +200,10 @@
     async fn send(&self, mut slot: Slot, proof: Option<NotSent>) -> Sent {
         let unrun = proof.is_some();
         let now = time::now();
-        slot.knowledge = self.gateway.note_knowledge(now);
+        slot.store_age = self.gateway.record_store_age(now);
         let left = self.call.left(now);
         let after = self.call.after;
-        let sending = Sending { to: slot.place.to.clone(), left, from: None, after };
+        let sending = Sending { to: slot.place.destination.clone(), left, from: None, after };
         self.gateway.log_server_remarks(self.call, slot.key(), now);
         let reply = match self.gateway.wire.send(self.call, sending, proof).await {
             Ok(reply) => reply,
@@ -211,7 +217,7 @@
         }
         if reply.declined && matches!(reply.status.as_u16(), 408 | 429 | 503) {
             // It is idle, and would seem free to each daemon that it has not yet turned away.
-            slot.declined();
+            slot.record_refusal();
             return Sent::NotRun(declared(), "declined");
         }
         if self.call.route.kind == RouteKind::Streaming && reply.status.is_success() {
@@ -220,11 +226,11 @@
         let failed = reply.status.is_server_error();
         let status = reply.status.as_u16();
         let answer = hold(reply).await;
-        slot.judge(failed || answer.is_err());
+        slot.record_result(failed || answer.is_err());
         let (id, route) = (self.call.id.as_str(), self.call.route.name.as_str());
         let (server, whole) = (slot.id(), answer.is_ok());
         let ms = time::since(self.call.arrived).as_millis() as u64;
-        let knew = slot.knowledge_ms();
+        let knew = slot.store_age_ms();
         info!(id = id, route = route, server = server, status = status, whole = whole, ms = ms, knowledge_ms = knew; "answer from a server");
         let Ok(answer) = answer else {
             self.gateway.handle_lost_run(self.call, &slot, Run::Unseen).await;
@@ -238,11 +244,11 @@
     }
 
     async fn lost(&self, slot: &Slot, lost: Lost) -> Sent {
-        slot.judge(true);
+        slot.record_result(true);
         let (id, server) = (self.call.id.as_str(), slot.id());
         match lost {
             Lost::Unsent { proof, refused, reason } => {
-                slot.not_reached(refused);
+                slot.record_connect_failure(refused);
                 warn!(id = id, server = server, reason = reason.as_str(); "server not reached");
                 Sent::NotReached(proof)
             }
@@ -259,10 +265,13 @@
         if !self.call.route.may_run_again(self.runs + 1) {
             return None;
         }
-        let aim = self.call.route.aim;
+        let aim = self.call.route.latency_slo;
         Some(match self.call.route.kind {
             RouteKind::Safe => aim.mul_f64(SILENT_FRACTION),
-            _ => admission::patience(aim, slot.waiting + slot.place.load.unread_prompt),
+            _ => admission::first_event_timeout(
+                aim,
+                slot.waiting_tokens + slot.place.load.unread_prompt,
+            ),
         })
     }
 
@@ -286,7 +295,7 @@
         fallback: Option<Answer>,
         why: NoSlot,
     ) -> Result<Answer, Failure> {
-        self.log("ended without success", why.why);
+        self.log("ended without success", why.reason);
         match proof {
             Some(proof) => {
                 if let Some(due) = why.due {
@@ -295,7 +304,8 @@
                 Err(refused(proof, why))
             }
             None => {
-                let reason = Reason::new(502, why.why, "the backend server gave no whole answer");
+                let reason =
+                    Reason::new(502, why.reason, "the backend server gave no whole answer");
                 fallback.ok_or(Failure::unknown(reason))
             }
         }
@@ -304,8 +314,8 @@
 
 /// A refusal of a request that did not run.
 pub(crate) fn refused(proof: NotSent, why: NoSlot) -> Failure {
-    let reason = Reason::new(503, why.why, "not run; send the request again after Retry-After");
-    Failure::not_run(proof, reason.retry_after(why.come_back.as_millis() as u64))
+    let reason = Reason::new(503, why.reason, "not run; send the request again after Retry-After");
+    Failure::not_run(proof, reason.retry_after(why.retry_after.as_millis() as u64))
 }
 
 /// Reads a plain answer until it is whole; one that is too large is passed on as it comes.
--- a/src/gateway/health_check.rs
+++ b/src/gateway/health_check.rs
@@ -32,7 +32,7 @@
 pub async fn run(gateway: Arc<Gateway>) {
     loop {
         if !gateway.servers().may_have_targets() {
-            gateway.work.notified().await;
+            gateway.work_started.notified().await;
         }
         sleep(CHECK_INTERVAL).await;
         let now = time::now();
@@ -47,7 +47,7 @@
 async fn check_server(gateway: Arc<Gateway>, server: HealthCheckTarget, now: Instant) {
     let declared = gateway.in_force.get();
     let service = declared.as_ref().and_then(|d| d.table.service(&server.service));
-    let health = service.and_then(|service| service.health.clone());
+    let health = service.and_then(|service| service.health_path.clone());
     let since = |at: Instant| now.saturating_duration_since(at);
     let wrong_lately = server.cleared.is_some_and(|at| since(at) < SUSPICION_COOLDOWN);
     let sure = server.suspected.is_some_and(|at| since(at) >= REPORT_SETTLED);
--- a/src/gateway/limited.rs
+++ b/src/gateway/limited.rs
@@ -2,7 +2,7 @@
 //! no room.
 
 use crate::gateway::admission::AdmissionClass;
-use crate::gateway::core::{Gateway, Wanted};
+use crate::gateway::core::{Gateway, LimitedServer};
 use crate::gateway::limit::{CellShare, Share};
 use crate::gateway::promises::Quota;
 use crate::gateway::request::Call;
@@ -37,7 +37,7 @@
         let (fraction, cell_fraction) =
             (budget.request_fraction(service, now), budget.cell_fraction(service, now));
         let (_, rank) = *self.cold.lock().expect("no holder panics");
-        let near = budget.near();
+        let near = budget.cell_peers();
         let share = |server: Tag| {
             let (daemons, place) = (near.count(), near.place(server));
             let cell = CellShare { fraction: cell_fraction, daemons, position: place };
@@ -98,7 +98,7 @@
         let mut promises = self.promises();
         let promises = promises.entry(service.clone()).or_default();
         let back = promises.retry_advice(quota, demand, call.left(now), now);
-        NoSlot { why: SERVERS_IN_NEED, come_back: back.after, due: back.due }
+        NoSlot { reason: SERVERS_IN_NEED, retry_after: back.after, due: back.due }
     }
 
     /// Asks other daemons for room for a request that would be refused here. Says whether it was given.
@@ -113,19 +113,19 @@
         now: Instant,
     ) -> bool {
         let may_take = self.may_take(service, call, tried, now);
-        let daemons = self.budget().near().count();
+        let daemons = self.budget().cell_peers().count();
         let (mut wanted, mut pace) = (Vec::new(), 0.0);
         for (key, server) in self.servers().limited(&service.name) {
             let holders = server.limit().holders();
             if holders > 0 && may_take(key, server) {
-                wanted.push(Wanted { server: server.tag(), holders });
+                wanted.push(LimitedServer { server: server.tag(), holders });
                 pace += server.limit().refill_rate();
             }
         }
         let few_hold = wanted.iter().any(|wanted| wanted.holders < daemons);
         let left_over = few_hold || self.budget().rate(&service.name, now) <= pace;
         let worth_asking = !wanted.is_empty() && left_over;
-        let Some(hearing) = self.hearing().filter(|_| worth_asking) else {
+        let Some(hearing) = self.peer_source().filter(|_| worth_asking) else {
             return false;
         };
         let given = hearing.borrow_quota(wanted).await;
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -7,12 +7,12 @@
 };
 
 /// Bounds of the buckets, in seconds: from a plain service's fast answer to a long generation.
-const SECONDS: [f64; 14] =
+const LATENCY_BUCKETS: [f64; 14] =
     [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 1.0, 1.8, 3.0, 6.0, 15.0, 40.0];
 
 /// Bounds of the buckets of ages of knowledge, in seconds: from a peer's word of just now to past every
 /// bound that the users set.
-const AGES: [f64; 10] = [0.1, 0.2, 0.4, 0.7, 1.0, 1.5, 2.0, 3.0, 4.0, 6.0];
+const AGE_BUCKETS: [f64; 10] = [0.1, 0.2, 0.4, 0.7, 1.0, 1.5, 2.0, 3.0, 4.0, 6.0];
 
 /// All metrics of one daemon's gateway.
 pub struct GatewayMetrics {
@@ -94,7 +94,7 @@
                         "tidestair_gateway_knowledge_age_seconds",
                         "Time since the copy of the store was confirmed, at each sending",
                     )
-                    .buckets(AGES.to_vec()),
+                    .buckets(AGE_BUCKETS.to_vec()),
                 )
                 .expect("a valid name"),
             ),
@@ -195,6 +195,6 @@
 }
 
 fn histogram(r: &Registry, name: &str, help: &str, labels: &[&str]) -> HistogramVec {
-    let opts = HistogramOpts::new(name, help).buckets(SECONDS.to_vec());
+    let opts = HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS.to_vec());
     register(r, HistogramVec::new(opts, labels).expect("a valid name"))
 }
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -446,7 +446,7 @@
             self.enforce(state, &key, revision, &content, seen, now);
         }
         state.forget_deleted();
-        self.gateway.tell_copy();
+        self.gateway.signal_copy_change();
     }
 
     /// What stands in place of a change that the store has, if it has lost a later one.
--- a/src/gateway/moving.rs
+++ b/src/gateway/moving.rs
@@ -5,11 +5,11 @@
 //! lies before it on the server's link. So runs are moved one after the other: a daemon waits for
 //! those that rank before it, by what they say they still have there.
 
-use crate::gateway::budget::Repeat;
+use crate::gateway::budget::RetryKind;
 use crate::gateway::core::Gateway;
 use crate::gateway::port::{Copied, NotCopied, RunCopy};
 use crate::gateway::request::Call;
-use crate::gateway::slot::{Place, Slot};
+use crate::gateway::slot::{Placement, Slot};
 use crate::gateway::table::{Engine, Service};
 use crate::time;
 use log::info;
@@ -55,14 +55,14 @@
     gateway: Arc<Gateway>,
     call: Arc<Call>,
     service: Arc<Service>,
-    source: Place,
+    source: Placement,
     stopping: Arc<AtomicBool>,
 ) -> Moved {
     let noticed = time::now();
-    let turn = gateway.turn(source.key);
+    let turn = gateway.move_permit(source.key);
     let _turn = turn.acquire().await;
     wait_for_others(&gateway, &service, &source).await;
-    if !gateway.has_repeat(&service.name, Repeat::Continuation, time::now()) {
+    if !gateway.allows_retry(&service.name, RetryKind::Continuation, time::now()) {
         return Moved::Stays("no_repeat_left");
     }
     let mut refused = vec![source.key];
@@ -74,7 +74,7 @@
         let copier = Copier { gateway: &gateway, run: &call.id, from: &source, to: &slot };
         match copier.copy_until_quiet(noticed).await {
             Ok(copy) => {
-                slot.has_arrived();
+                slot.record_copy_done();
                 break (slot, copy);
             }
             Err(NotCopied::NoRoom(_)) => refused.push(slot.key()),
@@ -86,12 +86,12 @@
         return Moved::Stays("target_rests");
     }
     // Only what goes on elsewhere is a repeat, and other runs may have spent the last one meanwhile.
-    if !gateway.take_repeat(&service.name, Repeat::Continuation, time::now()) {
+    if !gateway.spend_retry(&service.name, RetryKind::Continuation, time::now()) {
         return Moved::Stays("no_repeat_left");
     }
     stopping.store(true, Ordering::Relaxed);
     let copier = Copier { gateway: &gateway, run: &call.id, from: &source, to: &slot };
-    let kept = |handle| RunCopy { server: source.to.addr, handle };
+    let kept = |handle| RunCopy { server: source.destination.addr, handle };
     match copier.copy(true).await {
         Ok(copied) => {
             copy.handle = None;
@@ -124,13 +124,13 @@
 
 /// Waits until the daemons that rank before this one have moved their runs away from the server, or
 /// until that should have been done.
-async fn wait_for_others(gateway: &Gateway, service: &Service, source: &Place) {
+async fn wait_for_others(gateway: &Gateway, service: &Service, source: &Placement) {
     let Some(engine) = &service.engine else {
         return;
     };
     let (mut since, mut before) = (time::now(), u32::MAX);
     loop {
-        let ahead = gateway.ahead(source.key, time::now()).non_repeatable;
+        let ahead = gateway.higher_ranked_load(source.key, time::now()).non_repeatable;
         if ahead < before {
             (since, before) = (time::now(), ahead);
         }
@@ -151,15 +151,18 @@
 struct Copier<'a> {
     gateway: &'a Arc<Gateway>,
     run: &'a str,
-    from: &'a Place,
+    from: &'a Placement,
     to: &'a Slot,
 }
 
 impl Copier<'_> {
     /// Copies while the run goes on, until a copy finds the links quiet or time is short.
     async fn copy_until_quiet(&self, noticed: Instant) -> Result<CopyAhead, NotCopied> {
-        let mut ahead =
-            CopyAhead { gateway: self.gateway.clone(), from: self.from.to.addr, handle: None };
+        let mut ahead = CopyAhead {
+            gateway: self.gateway.clone(),
+            from: self.from.destination.addr,
+            handle: None,
+        };
         loop {
             let began = time::now();
             ahead.handle = Some(self.copy(false).await?.handle);
@@ -175,8 +178,9 @@
         let mut tries = 0;
         let copied = loop {
             tries += 1;
-            let (asked, target) = (time::now(), self.to.place.to.addr);
-            let answer = self.gateway.wire.copy(self.from.to.addr, self.run, target, last).await;
+            let (asked, target) = (time::now(), self.to.place.destination.addr);
+            let answer =
+                self.gateway.wire.copy(self.from.destination.addr, self.run, target, last).await;
             self.gateway.handle_remarks(self.from.key, &answer.remarks, asked);
             match answer.outcome {
                 Err(NotCopied::Busy | NotCopied::NoRun) if tries < MOST_TRIES => sleep(AGAIN).await,
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -7,14 +7,14 @@
 
 /// Cost of a server in another hall for a request, as a share of a server's capacity: enough to stay
 /// near while loads are alike, not enough to run into a busier server.
-pub const FAR_COST: f64 = 0.04;
+pub const REMOTE_HALL_COST: f64 = 0.04;
 /// The same where loads in other halls are told late: many daemons see the same server free there
 /// and fill it at once. About the cost of two prompts that are still to be read.
-pub const UNSEEN_COST: f64 = 0.6;
+pub const STALE_REMOTE_HALL_COST: f64 = 0.6;
 /// The same for a run that is copied there: copies between halls take twice as long, and a server
 /// that leaves has little time; but a server that gets all runs of another one can't be emptied in
 /// its turn.
-pub const FAR_COPY_COST: f64 = 0.25;
+pub const REMOTE_HALL_COPY_COST: f64 = 0.25;
 /// Cost of a server all of whose recent exchanges failed.
 const FAILURE_COST: f64 = 3.0;
 /// Runs that weigh as much as a full memory: decoding slows with the batch before memory is short.
@@ -28,13 +28,13 @@
 const ARRIVING_SCALE: f64 = 14_000.0;
 /// Requests are sent to one drawn from the servers whose costs differ by less than this from the
 /// least, so that daemons don't herd.
-pub const ALIKE: f64 = 0.03;
+pub const COST_TOLERANCE: f64 = 0.03;
 /// The same for runs that are copied.
-pub const COPY_ALIKE: f64 = 0.1;
+pub const COPY_COST_TOLERANCE: f64 = 0.1;
 /// Cost up to which servers are alike for a run that is copied. Several servers leave at the same
 /// moment, and many daemons choose at once: a link that two copies share costs a run that has 1.5 s
 /// more than a fuller memory.
-const ROOMY: f64 = 0.8;
+const COPY_COST_FLOOR: f64 = 0.8;
 
 /// What is to be placed.
 #[derive(Debug, Clone, Copy)]
@@ -42,12 +42,12 @@
     /// The hall that is preferred.
     pub hall: &'a str,
     /// Cost of another hall, as a share of a server's capacity.
-    pub far: f64,
+    pub remote_cost: f64,
     /// Difference in cost up to which servers are alike.
-    pub alike: f64,
+    pub cost_tolerance: f64,
     /// Requests like this one that other daemons are expected to have sent since they told what they have
     /// running.
-    pub unseen: f64,
+    pub unreported_requests: f64,
     /// What it is expected to take.
     pub load: Load,
     /// Present for model engines.
@@ -73,7 +73,7 @@
 }
 
 /// A way to choose.
-pub trait Placing: Send + Sync {
+pub trait PlacementPolicy: Send + Sync {
     /// The name for logs and reports.
     fn name(&self) -> &'static str;
     /// One of the candidates; `None` where there is none.
@@ -90,7 +90,7 @@
 #[derive(Debug, Default)]
 pub struct Headroom;
 
-impl Placing for Headroom {
+impl PlacementPolicy for Headroom {
     fn name(&self) -> &'static str {
         "headroom"
     }
@@ -102,12 +102,12 @@
         now: Instant,
         rng: &mut dyn Rng,
     ) -> Option<ServerKey> {
-        let unseen =
-            request.unseen * request.engine.map_or(0.0, |engine| share(request.load, engine));
-        if unseen > request.alike {
-            return draw_below(candidates, |c| cost(c, request, now), unseen, rng);
+        let unseen = request.unreported_requests
+            * request.engine.map_or(0.0, |engine| utilization(request.load, engine));
+        if unseen > request.cost_tolerance {
+            return draw_weighted(candidates, |c| cost(c, request, now), unseen, rng);
         }
-        draw_least(candidates, |c| cost(c, request, now), request.alike, rng)
+        draw_cheapest(candidates, |c| cost(c, request, now), request.cost_tolerance, rng)
     }
 }
 
@@ -115,7 +115,7 @@
 /// this one and went where it seemed least. They have raised the least costs to one level: a server is as
 /// likely to be the right one as its cost lies below it (the "basic load interpretation" of M. Dahlin,
 /// Interpreting Stale Load Information, ICDCS 1999). To go to the least would send all of them to one server.
-fn draw_below(
+fn draw_weighted(
     candidates: &[Candidate<'_>],
     cost: impl Fn(&Candidate<'_>) -> f64,
     unseen: f64,
@@ -123,7 +123,7 @@
 ) -> Option<ServerKey> {
     let mut costs: Vec<(f64, ServerKey)> = candidates.iter().map(|c| (cost(c), c.key)).collect();
     costs.sort_by(|(one, _), (other, _)| one.total_cmp(other));
-    let level = level(costs.iter().map(|(cost, _)| *cost), unseen)?;
+    let level = water_level(costs.iter().map(|(cost, _)| *cost), unseen)?;
     let below: Vec<(f64, ServerKey)> = costs
         .into_iter()
         .map(|(cost, key)| (level - cost, key))
@@ -139,7 +139,7 @@
 }
 
 /// The level to which `more` raises the least of some costs, which rise; `None` where there are none.
-fn level(costs: impl Iterator<Item = f64>, more: f64) -> Option<f64> {
+fn water_level(costs: impl Iterator<Item = f64>, more: f64) -> Option<f64> {
     let (mut sum, mut count, mut level) = (more, 0.0, None);
     for cost in costs {
         if level.is_some_and(|level| level <= cost) {
@@ -154,7 +154,7 @@
 
 /// One drawn from the candidates whose costs differ by up to `alike` from the least; `None` where
 /// there is no candidate.
-pub(crate) fn draw_least(
+pub(crate) fn draw_cheapest(
     candidates: &[Candidate<'_>],
     cost: impl Fn(&Candidate<'_>) -> f64,
     alike: f64,
@@ -168,7 +168,7 @@
 }
 
 /// What a load takes of an engine, as a share of a full one.
-fn share(load: Load, engine: &Engine) -> f64 {
+fn utilization(load: Load, engine: &Engine) -> f64 {
     f64::from(load.tokens) / f64::from(engine.memory.max(1))
         + f64::from(load.runs) / BATCH_SCALE
         + f64::from(load.unread_prompt) / READ_SCALE
@@ -179,15 +179,16 @@
     let (server, load) = (candidate.server, candidate.load);
     let used = match request.engine {
         Some(engine) => {
-            share(load, engine) + f64::from(request.load.tokens) / f64::from(engine.memory.max(1))
+            utilization(load, engine)
+                + f64::from(request.load.tokens) / f64::from(engine.memory.max(1))
         }
         None => f64::from(load.runs) / f64::from(server.record.slots.max(1)),
     };
     let used = if request.is_copy() {
-        used.max(ROOMY) + f64::from(load.incoming_copies) / ARRIVING_SCALE
+        used.max(COPY_COST_FLOOR) + f64::from(load.incoming_copies) / ARRIVING_SCALE
     } else {
         used
     };
-    let far = if server.record.hall == request.hall { 0.0 } else { request.far };
+    let far = if server.record.hall == request.hall { 0.0 } else { request.remote_cost };
     used + far + server.failure_rate(now) * FAILURE_COST
 }
--- a/src/gateway/policies.rs
+++ b/src/gateway/policies.rs
@@ -1,6 +1,8 @@
 //! The simple ways to choose a server, beside [`Headroom`], to compare with it on live traffic.
 
-use crate::gateway::place::{Candidate, Headroom, PlacementRequest, Placing, draw_least};
+use crate::gateway::place::{
+    Candidate, Headroom, PlacementPolicy, PlacementRequest, draw_cheapest,
+};
 use crate::gateway::servers::ServerKey;
 use rand::{Rng, RngExt};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,7 +12,7 @@
 pub const NAMES: [&str; 4] = ["headroom", "least-load", "two-choices", "round-robin"];
 
 /// A way to choose by its name; `None` where there is none of that name.
-pub fn by_name(name: &str) -> Option<Box<dyn Placing>> {
+pub fn by_name(name: &str) -> Option<Box<dyn PlacementPolicy>> {
     match name {
         "headroom" => Some(Box::new(Headroom)),
         "least-load" => Some(Box::new(LeastLoad)),
@@ -24,7 +26,7 @@
 #[derive(Debug, Default)]
 pub struct LeastLoad;
 
-impl Placing for LeastLoad {
+impl PlacementPolicy for LeastLoad {
     fn name(&self) -> &'static str {
         "least-load"
     }
@@ -36,7 +38,7 @@
         _now: Instant,
         rng: &mut dyn Rng,
     ) -> Option<ServerKey> {
-        draw_least(candidates, |c| f64::from(c.load.runs), 0.0, rng)
+        draw_cheapest(candidates, |c| f64::from(c.load.runs), 0.0, rng)
     }
 }
 
@@ -44,7 +46,7 @@
 #[derive(Debug, Default)]
 pub struct TwoChoices;
 
-impl Placing for TwoChoices {
+impl PlacementPolicy for TwoChoices {
     fn name(&self) -> &'static str {
         "two-choices"
     }
@@ -71,7 +73,7 @@
     turn: AtomicUsize,
 }
 
-impl Placing for RoundRobin {
+impl PlacementPolicy for RoundRobin {
     fn name(&self) -> &'static str {
         "round-robin"
     }
--- a/src/gateway/regions.rs
+++ b/src/gateway/regions.rs
@@ -1,6 +1,6 @@
 //! Which hall is in which region, and which of them a request may go to.
 
-use crate::gateway::table::Homes;
+use crate::gateway::table::RegionList;
 use std::collections::HashMap;
 
 /// The region of each hall.
@@ -24,9 +24,9 @@
 pub(crate) struct AllowedRegions<'a> {
     pub(crate) regions: &'a Regions,
     /// The regions of its route.
-    pub(crate) route: &'a Homes,
+    pub(crate) route: &'a RegionList,
     /// Those of its workspace, if it has one.
-    pub(crate) workspace: Option<&'a Homes>,
+    pub(crate) workspace: Option<&'a RegionList>,
 }
 
 impl AllowedRegions<'_> {
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -65,16 +65,16 @@
     let first = match upstream.next().await {
         Step::Event(event) => event,
         Step::Ended | Step::Broke(_) => {
-            slot.judge(true);
+            slot.record_result(true);
             gateway.handle_lost_run(call, &slot, Run::Unseen).await;
             return Sent::Failed(None, "no_event");
         }
     };
-    slot.judge(false);
-    slot.has_read();
+    slot.record_result(false);
+    slot.record_prompt_read();
     let (id, route) = (call.id.as_str(), call.route.name.as_str());
     let ms = time::since(call.arrived).as_millis() as u64;
-    let knew = slot.knowledge_ms();
+    let knew = slot.store_age_ms();
     info!(id = id, route = route, server = slot.id(), ms = ms, tokens = call.size.tokens(), knowledge_ms = knew; "stream begun");
     let (out, events) = mpsc::channel(QUEUE);
     let relay = Relay {
@@ -271,7 +271,7 @@
     }
 
     fn can_move(&self) -> bool {
-        self.moves < MOST_MOVES && self.service.engine.as_ref().is_some_and(|e| e.moves)
+        self.moves < MOST_MOVES && self.service.engine.as_ref().is_some_and(|e| e.supports_moves)
     }
 
     /// When the server is to be asked about a silent stream.
@@ -287,7 +287,7 @@
             self.looked = Some(Looked { at: now, made: None });
             return false;
         }
-        let (server, run) = (self.slot.place.to.addr, self.call.id.as_str());
+        let (server, run) = (self.slot.place.destination.addr, self.call.id.as_str());
         let asked = time::now();
         let made = match self.gateway.wire.report(server, LOOK_LIMIT).await {
             Ok(report) => {
@@ -361,7 +361,10 @@
     /// Goes on from a copy at another server, or from what the stopped run left at its own. It is
     /// the same run, accepted while its key held: a key that was taken away since does not cut it.
     async fn go_on(&mut self, kept: RunCopy, slot: Option<Slot>) -> Result<(), End> {
-        let to = slot.as_ref().map_or(&self.slot.place.to, |slot| &slot.place.to).clone();
+        let to = slot
+            .as_ref()
+            .map_or(&self.slot.place.destination, |slot| &slot.place.destination)
+            .clone();
         let now = time::now();
         let key = slot.as_ref().map_or(self.slot.key(), Slot::key);
         let sending =
@@ -407,20 +410,20 @@
     /// Runs the request anew at another server, from the last event on, where it may run again.
     async fn run_again(&mut self, why: String) -> Result<(), End> {
         let now = time::now();
-        self.slot.judge(true);
+        self.slot.record_result(true);
         let allowed = self.call.route.may_run_again(self.runs);
-        if !allowed || !self.gateway.may_send(&self.call, now) {
+        if !allowed || !self.gateway.is_authorized(&self.call, now) {
             return Err(End::Broken(why));
         }
         let tried = [self.slot.key()];
         let begun = AdmissionClass::Begun;
-        let Ok(slot) = self.gateway.slot_again(&self.service, &self.call, begun, &tried, now)
+        let Ok(slot) = self.gateway.slot_for_retry(&self.service, &self.call, begun, &tried, now)
         else {
             return Err(End::Broken(why));
         };
         self.runs += 1;
         let sending = Sending {
-            to: slot.place.to.clone(),
+            to: slot.place.destination.clone(),
             left: self.call.left(now),
             from: None,
             after: self.last,
--- a/src/gateway/remarks.rs
+++ b/src/gateway/remarks.rs
@@ -29,7 +29,7 @@
         if new.leaves {
             // The store may say so much later, or never, and every daemon sends requests there until it knows.
             info!(server = &*id; "server says that it leaves");
-            self.tell();
+            self.signal_urgent_change();
         }
         if let Some(rest) = remarks.backoff.filter(|_| new.backs_off) {
             info!(server = &*id, ms = rest.as_millis() as u64; "server asks for rest");
@@ -42,7 +42,7 @@
                 }
                 _ => info!(server = &*id; "server names no limit any more"),
             }
-            self.tell();
+            self.signal_urgent_change();
         }
     }
 
@@ -65,8 +65,8 @@
         };
         // Those who are refused within a rest come back one after the other.
         let come_back = left + rand::rng().random_range(Duration::ZERO..AFTER_BACKOFF);
-        match all || (why.why == SERVERS_IN_NEED && come_back < why.come_back) {
-            true => NoSlot { come_back, due: None, ..why },
+        match all || (why.reason == SERVERS_IN_NEED && come_back < why.retry_after) {
+            true => NoSlot { retry_after: come_back, due: None, ..why },
             false => why,
         }
     }
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -1,7 +1,7 @@
 //! A caller's request on its way through the gateway, and the answer to it.
 
 use crate::gateway::fingerprint::Fingerprint;
-use crate::gateway::table::{Homes, Route};
+use crate::gateway::table::{RegionList, Route};
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt, Full};
@@ -53,7 +53,7 @@
     /// The caller's key; it is looked up again before each sending.
     pub key: String,
     /// Regions that requests of the workspace must stay in.
-    pub homes: Homes,
+    pub homes: RegionList,
 }
 
 /// A caller's request. Time limits are on this process's steady clock.
--- a/src/gateway/slot.rs
+++ b/src/gateway/slot.rs
@@ -1,11 +1,12 @@
 //! Choosing a backend server for a request, and the slot that the request has there.
 
 use crate::gateway::admission::{self, AdmissionClass, Bound};
-use crate::gateway::budget::Repeat;
+use crate::gateway::budget::RetryKind;
 use crate::gateway::core::Gateway;
 use crate::gateway::limited::has_quota;
 use crate::gateway::place::{
-    ALIKE, COPY_ALIKE, Candidate, FAR_COPY_COST, FAR_COST, PlacementRequest, UNSEEN_COST,
+    COPY_COST_TOLERANCE, COST_TOLERANCE, Candidate, PlacementRequest, REMOTE_HALL_COPY_COST,
+    REMOTE_HALL_COST, STALE_REMOTE_HALL_COST,
 };
 use crate::gateway::port::Destination;
 use crate::gateway::request::Call;
@@ -25,11 +26,11 @@
 
 /// Where a request runs.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct Placement {
     /// The server.
     pub key: ServerKey,
     /// Where it is.
-    pub to: Destination,
+    pub destination: Destination,
     /// The tag of its start.
     pub tag: Tag,
     /// Its hall.
@@ -39,22 +40,22 @@
 }
 
 /// Time after which a caller that was refused may come back, where nothing better is known.
-const COME_BACK: Duration = Duration::from_millis(300);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Why a request gets no slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NoSlot {
     /// The reason, for logs and answers.
-    pub why: &'static str,
+    pub reason: &'static str,
     /// When its caller is to come back.
-    pub come_back: Duration,
+    pub retry_after: Duration,
     /// When room is to be kept for it, if it is told so.
     pub due: Option<Instant>,
 }
 
 impl From<&'static str> for NoSlot {
     fn from(why: &'static str) -> NoSlot {
-        NoSlot { why, come_back: COME_BACK, due: None }
+        NoSlot { reason: why, retry_after: DEFAULT_RETRY_AFTER, due: None }
     }
 }
 
@@ -62,28 +63,28 @@
 pub struct Slot {
     gateway: Arc<Gateway>,
     /// Where it is.
-    pub place: Place,
+    pub place: Placement,
     /// Tells when the server is about to leave.
     pub notice: watch::Receiver<bool>,
     /// Age of the copy of the store when the request was sent there.
-    pub knowledge: Option<Duration>,
+    pub store_age: Option<Duration>,
     /// Tokens of prompts that waited there before this request.
-    pub waiting: u32,
+    pub waiting_tokens: u32,
     /// What its outcome counts for.
-    pub trial: Option<Trial>,
+    pub rollout_sample: Option<RolloutSample>,
 }
 
 /// A request that counts in a roll-out.
 #[derive(Debug, Clone, Copy)]
-pub struct Trial {
+pub struct RolloutSample {
     stratum: Stratum,
     sent: Instant,
     /// A time below which nobody would notice how long an answer takes.
-    least: Duration,
+    time_floor: Duration,
 }
 
 /// The same as a part of the route's aim.
-const UNNOTICED_FRACTION: f64 = 0.05;
+const UNNOTICEABLE_FRACTION: f64 = 0.05;
 
 impl Slot {
     /// The server.
@@ -93,65 +94,65 @@
 
     /// Id of the server, for logs.
     pub fn id(&self) -> &str {
-        &self.place.to.id
+        &self.place.destination.id
     }
 
     /// Age of the copy of the store when the request was sent there, in milliseconds, for logs.
-    pub fn knowledge_ms(&self) -> Option<u64> {
-        Some(self.knowledge?.as_millis() as u64)
+    pub fn store_age_ms(&self) -> Option<u64> {
+        Some(self.store_age?.as_millis() as u64)
     }
 
     /// Notes that the server has read the prompt.
-    pub fn has_read(&mut self) {
+    pub fn record_prompt_read(&mut self) {
         let tokens = std::mem::take(&mut self.place.load.unread_prompt);
         self.gateway.servers().note_prompt_read(self.key(), tokens);
-        self.gateway.tell_load(self.place.load);
+        self.gateway.signal_load_change(self.place.load);
     }
 
     /// Notes that the memory of the run has been copied to the server.
-    pub fn has_arrived(&mut self) {
+    pub fn record_copy_done(&mut self) {
         let tokens = std::mem::take(&mut self.place.load.incoming_copies);
         self.gateway.servers().note_copy_arrived(self.key(), tokens);
-        self.gateway.tell_load(self.place.load);
+        self.gateway.signal_load_change(self.place.load);
     }
 
     /// Notes that no connection to the server came about. Other daemons hear of it at once where it
     /// was refused: they would be as well.
-    pub fn not_reached(&self, refused: bool) {
+    pub fn record_connect_failure(&self, refused: bool) {
         self.gateway.servers().note_unreachable(self.key(), refused, time::now());
         if refused {
-            self.gateway.tell();
+            self.gateway.signal_urgent_change();
         }
     }
 
     /// Notes how the exchange went.
-    pub fn judge(&self, failed: bool) {
-        self.gateway.judge(self.key(), failed);
-        if let Some(trial) = self.trial {
-            self.gateway.note_trial(trial, failed);
+    pub fn record_result(&self, failed: bool) {
+        self.gateway.record_result(self.key(), failed);
+        if let Some(trial) = self.rollout_sample {
+            self.gateway.record_rollout_sample(trial, failed);
         }
     }
 
     /// Notes that the server turned the request away, which tells nothing of its version.
-    pub fn declined(&self) {
-        self.gateway.judge(self.key(), true);
+    pub fn record_refusal(&self) {
+        self.gateway.record_result(self.key(), true);
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
         self.gateway.servers().remove_load(self.key(), self.place.load);
-        self.gateway.tell_load(self.place.load);
+        self.gateway.signal_load_change(self.place.load);
         if *self.notice.borrow() {
             // Other daemons wait for their turn to move what they have there.
-            self.gateway.tell();
+            self.gateway.signal_urgent_change();
         }
     }
 }
 
 /// On which terms a request gets a slot.
 #[derive(Debug, Clone, Copy)]
-struct Terms {
+struct AdmissionTerms {
     /// How it stands to those that wait.
     admission_class: AdmissionClass,
     /// What may wait and run at its server.
@@ -160,9 +161,9 @@
 
 /// Which servers a request may go to.
 #[derive(Debug, Clone, Copy)]
-struct Among<'a> {
+struct ServerFilter<'a> {
     /// Those that were tried.
-    except: &'a [ServerKey],
+    excluded: &'a [ServerKey],
     /// Those that a roll-out gives it; `None` where all are alike.
     pick: Option<&'a Pick>,
 }
@@ -170,7 +171,7 @@
 impl Gateway {
     /// Whether a server bears one more request of this daemon: it is not cold, or the daemon's share of
     /// what it may get is not used up.
-    fn bears(&self, service: &Service, server: &Server, now: Instant) -> bool {
+    fn within_cold_share(&self, service: &Service, server: &Server, now: Instant) -> bool {
         if !server.is_cold(service.warm_up, now) {
             return true;
         }
@@ -192,13 +193,13 @@
             !except.contains(&key)
                 && allowed.includes(&server.record.hall)
                 && !server.is_backing_off(now)
-                && self.bears(service, server, now)
+                && self.within_cold_share(service, server, now)
         }
     }
 
     /// Requests for a service that daemons of this hall are expected to have sent since they told.
-    fn unseen(&self, service: &Arc<str>, now: Instant) -> f64 {
-        let late = *self.late.lock().expect("no holder panics");
+    fn unreported_requests(&self, service: &Arc<str>, now: Instant) -> f64 {
+        let late = *self.delayed_share.lock().expect("no holder panics");
         if late == 0.0 {
             return 0.0;
         }
@@ -207,7 +208,7 @@
 
     /// Takes in what came from other daemons since the last time.
     pub(super) fn listen(&self, now: Instant) {
-        if let Some(heard) = self.hearing().and_then(|hearing| hearing.peer_stats(now)) {
+        if let Some(heard) = self.peer_source().and_then(|hearing| hearing.peer_stats(now)) {
             self.servers().set_peer_stats(&heard);
             self.rollouts().set_others(&heard.rollouts, now);
             self.quarantine().set_others(&heard.evidence, now);
@@ -228,30 +229,37 @@
     ) -> Result<Slot, NoSlot> {
         self.listen(now);
         if let Some(left) = self.quarantine().quarantined_for(call.fingerprint(), now) {
-            return Err(NoSlot { why: "ends_servers", come_back: left, due: None });
+            return Err(NoSlot { reason: "ends_servers", retry_after: left, due: None });
         }
         let engine = service.engine.as_ref();
         let load = Load::of(call.size, call.route.repeatable());
         let divided = self.divided.load(Ordering::Relaxed);
-        let far = if divided { UNSEEN_COST } else { FAR_COST };
-        let unseen = self.unseen(&service.name, now);
-        let need = PlacementRequest { hall: &self.hall, far, alike: ALIKE, unseen, load, engine };
+        let far = if divided { STALE_REMOTE_HALL_COST } else { REMOTE_HALL_COST };
+        let unseen = self.unreported_requests(&service.name, now);
+        let need = PlacementRequest {
+            hall: &self.hall,
+            remote_cost: far,
+            cost_tolerance: COST_TOLERANCE,
+            unreported_requests: unseen,
+            load,
+            engine,
+        };
         let bound = match engine {
-            Some(engine) => Bound::of(self.aim(service, call), engine, admission_class),
+            Some(engine) => Bound::of(self.latency_slo(service, call), engine, admission_class),
             None => Bound::NONE,
         };
-        let terms = Terms { admission_class, bound };
+        let terms = AdmissionTerms { admission_class, bound };
         let draw = || match tried {
             [] => Draw::first(&call.route.name, &call.id),
             _ => Draw::Again,
         };
         let pick = self.pick(&service.name, draw, now);
-        let among = Among { except: tried, pick: pick.as_ref() };
+        let among = ServerFilter { excluded: tried, pick: pick.as_ref() };
         let slot = self.choose_slot(service, &need, call, terms, among, now);
         match pick {
             // The old servers have room where the few of the new version have none.
             Some(pick) if slot.is_err() && pick.arm == Arm::Candidate => {
-                let among = Among { except: tried, pick: Some(&pick.baseline()) };
+                let among = ServerFilter { excluded: tried, pick: Some(&pick.baseline()) };
                 self.choose_slot(service, &need, call, terms, among, now)
             }
             _ => slot,
@@ -259,7 +267,7 @@
     }
 
     /// Takes a slot for a request that was sent before, if the shared budget allows another sending.
-    pub fn slot_again(
+    pub fn slot_for_retry(
         self: &Arc<Self>,
         service: &Service,
         call: &Call,
@@ -268,7 +276,7 @@
         now: Instant,
     ) -> Result<Slot, NoSlot> {
         let slot = self.slot(service, call, admission_class, tried, now)?;
-        if !self.take_repeat(&service.name, Repeat::Retry, now) {
+        if !self.spend_retry(&service.name, RetryKind::Retry, now) {
             self.servers().return_quota(slot.key());
             return Err("no_repeat_left".into());
         }
@@ -276,15 +284,15 @@
     }
 
     /// Notes how a request went that counts in a roll-out.
-    pub(crate) fn note_trial(&self, trial: Trial, failed: bool) {
-        let time = (!failed).then(|| time::since(trial.sent).max(trial.least));
+    pub(crate) fn record_rollout_sample(&self, trial: RolloutSample, failed: bool) {
+        let time = (!failed).then(|| time::since(trial.sent).max(trial.time_floor));
         self.rollouts().note(trial.stratum, time);
     }
 
     /// The shortest aim of a service's routes.
-    fn aim(&self, service: &Service, call: &Call) -> Duration {
+    fn latency_slo(&self, service: &Service, call: &Call) -> Duration {
         let declared = self.in_force.get();
-        declared.and_then(|d| d.table.aim(&service.name)).unwrap_or(call.route.aim)
+        declared.and_then(|d| d.table.latency_slo(&service.name)).unwrap_or(call.route.latency_slo)
     }
 
     /// Takes a slot for a run of `call` that is copied from `source`, not at one of `refused`.
@@ -292,18 +300,25 @@
         self: &Arc<Self>,
         service: &Service,
         call: &Call,
-        source: &Place,
+        source: &Placement,
         refused: &[ServerKey],
         now: Instant,
     ) -> Option<Slot> {
         self.listen(now);
         let engine = service.engine.as_ref();
         let load = Load { unread_prompt: 0, incoming_copies: source.load.tokens, ..source.load };
-        let (hall, far) = (source.hall.as_str(), FAR_COPY_COST);
-        let need = PlacementRequest { hall, far, alike: COPY_ALIKE, unseen: 0.0, load, engine };
-        let terms = Terms { admission_class: AdmissionClass::Begun, bound: Bound::NONE };
+        let (hall, far) = (source.hall.as_str(), REMOTE_HALL_COPY_COST);
+        let need = PlacementRequest {
+            hall,
+            remote_cost: far,
+            cost_tolerance: COPY_COST_TOLERANCE,
+            unreported_requests: 0.0,
+            load,
+            engine,
+        };
+        let terms = AdmissionTerms { admission_class: AdmissionClass::Begun, bound: Bound::NONE };
         let pick = self.pick(&service.name, || Draw::Again, now);
-        let among = Among { except: refused, pick: pick.as_ref() };
+        let among = ServerFilter { excluded: refused, pick: pick.as_ref() };
         self.choose_slot(service, &need, call, terms, among, now).ok()
     }
 
@@ -312,12 +327,12 @@
         service: &Service,
         request: &PlacementRequest<'_>,
         call: &Call,
-        terms: Terms,
-        among: Among<'_>,
+        terms: AdmissionTerms,
+        among: ServerFilter<'_>,
         now: Instant,
     ) -> Result<Slot, NoSlot> {
         let load = request.load;
-        let may_take = self.may_take(service, call, among.except, now);
+        let may_take = self.may_take(service, call, among.excluded, now);
         let admits = |key, server: &Server| among.pick.is_none_or(|pick| pick.admits(key, server));
         let may_take = |key, server: &Server| admits(key, server) && may_take(key, server);
         let mut servers = self.servers();
@@ -329,18 +344,21 @@
         let candidates = candidates(&servers, service, request.hall, may_take, now);
         // What is unseen lies at all servers, drawn or not.
         let all = servers.count(&service.name);
-        let drawn = if all > MOST_LOOKED_AT { candidates.len() as f64 / all as f64 } else { 1.0 };
-        let need = &PlacementRequest { unseen: request.unseen * drawn, ..*request };
-        let chosen = self.placing.choose(&candidates, need, now, &mut rand::rng());
+        let drawn = if all > MAX_EXAMINED { candidates.len() as f64 / all as f64 } else { 1.0 };
+        let need = &PlacementRequest {
+            unreported_requests: request.unreported_requests * drawn,
+            ..*request
+        };
+        let chosen = self.placement_policy.choose(&candidates, need, now, &mut rand::rng());
         let Some(key) = chosen else {
             let limited = quota.map(|quota| self.no_quota(quota, &service.name, call, now));
             let why = limited.unwrap_or("no_server".into());
             return Err(self.after_backoff(why, &servers, service, call, now));
         };
         let there = servers.get(key).map(Server::load).unwrap_or_default();
-        if !terms.bound.holds(there) {
-            let come_back = admission::come_back(there.unread_prompt, &mut rand::rng());
-            return Err(NoSlot { why: "crowded", come_back, due: None });
+        if !terms.bound.admits(there) {
+            let come_back = admission::retry_after(there.unread_prompt, &mut rand::rng());
+            return Err(NoSlot { reason: "crowded", retry_after: come_back, due: None });
         }
         if servers.get(key).is_some_and(|server| server.is_cold(service.warm_up, now)) {
             servers.note_cold_request(key, now);
@@ -350,26 +368,39 @@
             self.fulfill_promise(&service.name, terms.admission_class, now);
         }
         servers.add_load(key, load);
-        self.work.notify_one();
-        self.tell_load(load);
+        self.work_started.notify_one();
+        self.signal_load_change(load);
         let server = servers.get(key).ok_or("no_server")?;
         let to = server.destination();
-        let place = Place { key, to, tag: server.tag(), hall: server.record.hall.clone(), load };
+        let place = Placement {
+            key,
+            destination: to,
+            tag: server.tag(),
+            hall: server.record.hall.clone(),
+            load,
+        };
         let notice = server.notice();
         let stratum =
             self.rollouts().stratum(&service.name, &call.route.name, &server.record.version);
-        let least = call.route.aim.mul_f64(UNNOTICED_FRACTION);
-        let trial = stratum.map(|stratum| Trial { stratum, sent: now, least });
+        let least = call.route.latency_slo.mul_f64(UNNOTICEABLE_FRACTION);
+        let trial = stratum.map(|stratum| RolloutSample { stratum, sent: now, time_floor: least });
         let (gateway, waiting) = (self.clone(), there.unread_prompt);
-        Ok(Slot { gateway, place, notice, knowledge: None, waiting, trial })
+        Ok(Slot {
+            gateway,
+            place,
+            notice,
+            store_age: None,
+            waiting_tokens: waiting,
+            rollout_sample: trial,
+        })
     }
 }
 
 /// Servers of a service up to which all are looked at for each request. The least loaded of as many as are drawn of more
 /// differs from the least loaded of all by nothing that a request would notice.
-const MOST_LOOKED_AT: usize = 256;
+const MAX_EXAMINED: usize = 256;
 /// Servers of the preferred hall that are drawn of more, and of all other halls.
-const DRAWN: usize = 64;
+const SAMPLE_SIZE: usize = 64;
 
 /// The servers that a request may go to; of many servers some that are drawn, or all where none of those may be used.
 fn candidates<'a>(
@@ -382,18 +413,18 @@
     let may_take = |(key, server): &(ServerKey, &Server)| {
         servers.is_open(&service.name, server) && may_take(*key, server)
     };
-    if servers.count(&service.name) > MOST_LOOKED_AT {
-        let drawn = servers.sample(&service.name, hall, DRAWN, &mut rand::rng());
-        let drawn = reached(drawn.into_iter().filter(may_take), now);
+    if servers.count(&service.name) > MAX_EXAMINED {
+        let drawn = servers.sample(&service.name, hall, SAMPLE_SIZE, &mut rand::rng());
+        let drawn = reachable_or_all(drawn.into_iter().filter(may_take), now);
         if drawn.iter().any(|candidate| !candidate.server.is_skipped(now)) {
             return drawn;
         }
     }
-    reached(servers.listed(&service.name).filter(may_take), now)
+    reachable_or_all(servers.listed(&service.name).filter(may_take), now)
 }
 
 /// Those of some servers that can be reached, or all where none can.
-fn reached<'a>(
+fn reachable_or_all<'a>(
     open: impl Iterator<Item = (ServerKey, &'a Server)>,
     now: Instant,
 ) -> Vec<Candidate<'a>> {
--- a/src/gateway/stop.rs
+++ b/src/gateway/stop.rs
@@ -25,7 +25,7 @@
 ) {
     let began = time::now();
     let end = began + grace.saturating_sub(LAST_MOMENT);
-    gateway.set_end(end);
+    gateway.set_shutdown_deadline(end);
     phase.send_replace(Phase::Leaving);
     info!(connections = open.count(); "leaving");
     let last_requests = grace.saturating_sub(LAST_REQUESTS);
--- a/src/gateway/suspicion.rs
+++ b/src/gateway/suspicion.rs
@@ -40,7 +40,9 @@
     /// be why. One that was known to leave has ended for that reason. Other daemons hear at once that nothing
     /// listens there, and of what was seen.
     pub(crate) async fn handle_lost_run(&self, call: &Call, slot: &Slot, run: Run) {
-        if *slot.notice.borrow() || !self.wire.is_gone(slot.place.to.addr, PROBE_TIMEOUT).await {
+        if *slot.notice.borrow()
+            || !self.wire.is_gone(slot.place.destination.addr, PROBE_TIMEOUT).await
+        {
             return;
         }
         let (request, now) = (call.fingerprint(), time::now());
@@ -49,7 +51,7 @@
         self.metrics.ended_servers.inc();
         let name = request.to_string();
         warn!(id = call.id.as_str(), request = name.as_str(), server = slot.id(), proved = proved; "server ended under a request");
-        slot.not_reached(true);
+        slot.record_connect_failure(true);
     }
 }
 
--- a/src/gateway/table.rs
+++ b/src/gateway/table.rs
@@ -39,9 +39,9 @@
 
 /// Regions that requests must stay in; none where they may go anywhere.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Homes(pub Vec<String>);
+pub struct RegionList(pub Vec<String>);
 
-impl Homes {
+impl RegionList {
     /// Whether requests may go to a region; `None` is one that isn't known.
     pub fn allow(&self, region: Option<&str>) -> bool {
         self.0.is_empty() || self.0.iter().any(|home| Some(home.as_str()) == region)
@@ -64,19 +64,19 @@
     /// Longest time a request is held.
     pub timeout: Duration,
     /// Time to the answer (of a stream: to its first event) that the service aims at.
-    pub aim: Duration,
+    pub latency_slo: Duration,
     /// Longest pause between events that the service aims at.
-    pub gap_aim: Option<Duration>,
+    pub gap_slo: Option<Duration>,
     /// Rank; 0 is the most urgent.
     pub priority: u8,
     /// Replicas that may run one request.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether callers need no key.
     pub anonymous: bool,
     /// Services that take the requests.
     pub targets: Vec<Target>,
     /// Regions that requests must stay in.
-    pub homes: Homes,
+    pub allowed_regions: RegionList,
 }
 
 impl Route {
@@ -91,7 +91,7 @@
 
     /// Whether a request that may have run so many times may run once more.
     pub fn may_run_again(&self, runs: u32) -> bool {
-        self.repeatable() && runs < self.attempts
+        self.repeatable() && runs < self.max_attempts
     }
 
     /// A service for one request, drawn by weight.
@@ -125,9 +125,9 @@
     /// Tokens that one event of a stream holds.
     pub event_tokens: u32,
     /// Whether running requests can be copied to another replica.
-    pub moves: bool,
+    pub supports_moves: bool,
     /// Whether a replica can keep a copy of a run up to date elsewhere.
-    pub backups: bool,
+    pub supports_backups: bool,
 }
 
 /// A service of the declared configuration.
@@ -138,7 +138,7 @@
     /// Connections that one replica takes from all callers.
     pub connections: u32,
     /// Path of the health check of its replicas; `None` where none is declared.
-    pub health: Option<Arc<str>>,
+    pub health_path: Option<Arc<str>>,
     /// How its replicas warm up after a start.
     pub warm_up: WarmUp,
     /// Present where the replicas are model engines.
@@ -155,7 +155,7 @@
     /// Keys of its callers.
     pub keys: Vec<String>,
     /// Regions that its requests must stay in.
-    pub homes: Homes,
+    pub allowed_regions: RegionList,
 }
 
 /// Bounds on what callers send.
@@ -166,9 +166,9 @@
     /// Bytes of a request's body.
     pub body_bytes: usize,
     /// Time for the head to come.
-    pub header_time: Duration,
+    pub header_timeout: Duration,
     /// Time that a connection may rest.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// One version of the configuration.
@@ -180,7 +180,7 @@
     pub limits: Limits,
     by_host: HashMap<String, Vec<Arc<Route>>>,
     /// The shortest aim of the routes to each service.
-    aims: HashMap<Arc<str>, Duration>,
+    latency_slos: HashMap<Arc<str>, Duration>,
     services: HashMap<Arc<str>, Arc<Service>>,
     workspaces: Vec<Workspace>,
     by_key: HashMap<String, usize>,
@@ -199,8 +199,8 @@
         let mut aims: HashMap<Arc<str>, Duration> = HashMap::new();
         for route in routes {
             for target in &route.targets {
-                let aim = aims.entry(target.service.clone()).or_insert(route.aim);
-                *aim = route.aim.min(*aim);
+                let aim = aims.entry(target.service.clone()).or_insert(route.latency_slo);
+                *aim = route.latency_slo.min(*aim);
             }
             by_host.entry(route.host.to_ascii_lowercase()).or_default().push(Arc::new(route));
         }
@@ -212,7 +212,7 @@
         for (i, workspace) in workspaces.iter().enumerate() {
             by_key.extend(workspace.keys.iter().map(|key| (key.clone(), i)));
         }
-        Table { version, limits, by_host, aims, services, workspaces, by_key }
+        Table { version, limits, by_host, latency_slos: aims, services, workspaces, by_key }
     }
 
     /// The route of a request: of its host's routes, the one with the longest prefix of the path.
@@ -223,14 +223,18 @@
     }
 
     /// What the routes of a host say of the regions that requests must stay in.
-    pub fn homes<'a>(&'a self, host: &str) -> impl Iterator<Item = &'a Homes> {
+    pub fn allowed_regions<'a>(&'a self, host: &str) -> impl Iterator<Item = &'a RegionList> {
         let routes = self.by_host.get(&host.to_ascii_lowercase());
-        routes.into_iter().flatten().map(|route| &route.homes).filter(|homes| !homes.0.is_empty())
+        routes
+            .into_iter()
+            .flatten()
+            .map(|route| &route.allowed_regions)
+            .filter(|homes| !homes.0.is_empty())
     }
 
     /// The shortest aim of the routes to a service.
-    pub fn aim(&self, service: &str) -> Option<Duration> {
-        self.aims.get(service).copied()
+    pub fn latency_slo(&self, service: &str) -> Option<Duration> {
+        self.latency_slos.get(service).copied()
     }
 
     /// A service by name.
--- a/src/gateway/upstream.rs
+++ b/src/gateway/upstream.rs
@@ -61,7 +61,7 @@
     sending: Sending,
 ) -> Result<Upstream, String> {
     let now = time::now();
-    gateway.note_knowledge(now);
+    gateway.record_store_age(now);
     gateway.log_server_remarks(call, server, now);
     let sent = gateway.wire.send(call, sending, None).await;
     if let Ok(reply) = &sent {
--- a/src/gateway/view.rs
+++ b/src/gateway/view.rs
@@ -1,6 +1,6 @@
 //! What a daemon has heard of the others: who speaks, who is ready, what runs where, what is spent.
 
-use crate::gateway::budget::{Near, Others};
+use crate::gateway::budget::{CellPeers, Others};
 use crate::gateway::cell::{CellId, Layout, rank};
 use crate::gateway::clock::{Clock, Echo, micros_between, millis_between, minus_millis};
 use crate::gateway::heartbeat::{DaemonStats, Heartbeat, Origin, Sum};
@@ -504,7 +504,7 @@
     /// many other daemons the store lists.
     pub fn spent(&self, listed: usize, now: Instant) -> Others {
         let mut spent = HashMap::new();
-        let mut near = Near { own: self.tag, ..Near::default() };
+        let mut near = CellPeers { own: self.tag, ..CellPeers::default() };
         for peer in self.near(now) {
             near.others.push(peer.tag);
             add(&mut near.spent, &peer.stats.spent);
@@ -518,7 +518,7 @@
             add(&mut spent, &sum.stats.spent);
         }
         let lately = self.peers.values().filter(|p| since(p.last_seen, now) <= FORGOTTEN).count();
-        Others { daemons: listed.max(lately).max(reachable), reachable, spent, near }
+        Others { daemons: listed.max(lately).max(reachable), reachable, spent, cell_peers: near }
     }
 
     /// The share of all daemons that are of this hall and are heard through sums.
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -8,7 +8,7 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use tidestair::gateway::admission::{AdmissionClass, Bound, come_back, patience};
+use tidestair::gateway::admission::{AdmissionClass, Bound, first_event_timeout, retry_after};
 use tidestair::gateway::servers::Load;
 use tidestair::gateway::table::Engine;
 
@@ -18,8 +18,8 @@
     token_bytes: 131_072,
     link_mbps: 19_000.0,
     event_tokens: 4,
-    moves: true,
-    backups: true,
+    supports_moves: true,
+    supports_backups: true,
 };
 const AIM_MS: u64 = 1_500;
 const AIM: Duration = Duration::from_millis(AIM_MS);
@@ -108,10 +108,10 @@
                     .min_by_key(|i| loads[*i].unread_prompt + loads[*i].tokens / 3)
                     .unwrap();
                 let bound = Bound::of(AIM, &ENGINE, request.standing);
-                if bounded && !bound.holds(loads[at]) {
+                if bounded && !bound.admits(loads[at]) {
                     if first {
                         let back =
-                            now + come_back(loads[at].unread_prompt, &mut rng).as_millis() as u64;
+                            now + retry_after(loads[at].unread_prompt, &mut rng).as_millis() as u64;
                         let standing = AdmissionClass::Returned;
                         add(&mut events, back, Event::Comes(Request { standing, ..request }));
                     } else {
@@ -187,7 +187,7 @@
     let newcomer = Bound::of(AIM, &ENGINE, AdmissionClass::Newcomer);
     let returned = Bound::of(AIM, &ENGINE, AdmissionClass::Returned);
     let load = Load { runs: 3, tokens: 9_000, unread_prompt: 4_000, ..Load::default() };
-    assert!(!newcomer.holds(load) && returned.holds(load));
+    assert!(!newcomer.admits(load) && returned.admits(load));
     assert_eq!(
         AdmissionClass::of(Duration::from_millis(4_900), Duration::from_secs(6)),
         AdmissionClass::Returned
@@ -201,13 +201,16 @@
 #[test]
 fn a_request_that_is_larger_than_the_bound_is_taken_by_a_server_without_work() {
     let bound = Bound::of(Duration::from_millis(1), &ENGINE, AdmissionClass::Newcomer);
-    assert!(bound.holds(Load::default()));
+    assert!(bound.admits(Load::default()));
 }
 
 #[test]
 fn a_stream_that_waits_behind_others_is_not_given_up_at_its_aim() {
     // What lies ahead on a crowded server takes longer to read than the aim.
-    let waiting = patience(AIM, 12_000);
+    let waiting = first_event_timeout(AIM, 12_000);
     assert!(waiting > Duration::from_millis(12_000 / 6) + AIM, "{waiting:?}");
-    assert!(patience(AIM, 3_000) < AIM * 2, "a server that says nothing is given up in time");
+    assert!(
+        first_event_timeout(AIM, 3_000) < AIM * 2,
+        "a server that says nothing is given up in time"
+    );
 }
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -187,7 +187,7 @@
     let load = Load { runs, tokens: 1_000 * runs, non_repeatable: 1_000 * runs, ..Load::default() };
     DaemonStats {
         loads: vec![(Tag::of("server"), load)],
-        spent: vec![(Tag::of("service"), Spent { requests: 10 * runs, repeats: 2 * runs })],
+        spent: vec![(Tag::of("service"), Spent { requests: 10 * runs, retries: 2 * runs })],
         outcomes: vec![(Tag::of("server"), Outcomes { tried: 2.0, failed: 1.0 })],
         ..DaemonStats::default()
     }
@@ -291,7 +291,7 @@
     assert_eq!(watcher.runs(ms(4)), 2 + 2 + 5 + 5);
     let spent = watcher.view.spent(59, watcher.start + ms(4));
     assert_eq!((spent.daemons, spent.reachable), (59, 4 + 5 + 5));
-    assert_eq!(spent.spent[&Tag::of("service")], Spent { requests: 140, repeats: 28 });
+    assert_eq!(spent.spent[&Tag::of("service")], Spent { requests: 140, retries: 28 });
 }
 
 #[test]
--- a/tests/common/fleet.rs
+++ b/tests/common/fleet.rs
@@ -254,7 +254,7 @@
     let load = Load { runs, tokens: 1_000 * runs, ..Load::default() };
     DaemonStats {
         loads: vec![(Tag::of(vm), load), (Tag::of("all"), load)],
-        spent: vec![(Tag::of("service"), Spent { requests: 10, repeats: 1 })],
+        spent: vec![(Tag::of("service"), Spent { requests: 10, retries: 1 })],
         ..DaemonStats::default()
     }
 }
--- a/tests/common/servers.rs
+++ b/tests/common/servers.rs
@@ -10,8 +10,8 @@
     token_bytes: 131_072,
     link_mbps: 19_000.0,
     event_tokens: 4,
-    moves: true,
-    backups: true,
+    supports_moves: true,
+    supports_backups: true,
 };
 
 /// Adds a server of the service `model`, called `i-` and a number, on which this daemon has so much.
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -78,7 +78,7 @@
     for node in &fleet.nodes {
         let spent = node.view.spent(all - 1, fleet.now);
         assert_eq!((spent.daemons, spent.reachable), (all - 1, all - 1));
-        let repeats = spent.spent[&Tag::of("service")].repeats;
+        let repeats = spent.spent[&Tag::of("service")].retries;
         assert_eq!(repeats as usize, all - 1);
     }
 }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -107,7 +107,7 @@
                 incoming_copies: 16,
             },
         )],
-        spent: vec![(tag(17), Spent { requests: 18, repeats: 19 })],
+        spent: vec![(tag(17), Spent { requests: 18, retries: 19 })],
         outcomes: vec![(tag(20), Outcomes { tried: 2.5, failed: 1.5 })],
         evidence: vec![(
             fingerprint(),
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -4,12 +4,12 @@
 use proptest::prelude::*;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tidestair::gateway::budget::{BudgetBounds, Others, Repeat, RepeatBudget, Spent};
+use tidestair::gateway::budget::{BudgetBounds, Others, RetryKind, SharedRetryBudget, Spent};
 use tidestair::gateway::events::Splitter;
 use tidestair::gateway::in_force::{Declared, InForce};
 use tidestair::gateway::servers::{Load, Observations, PeerStats, ServerRecord, Servers};
 use tidestair::gateway::table::{
-    Homes, Limits, Route, RouteKind, Service, Table, Target, Workspace,
+    Limits, RegionList, Route, RouteKind, Service, Table, Target, Workspace,
 };
 use tidestair::gateway::tag::Tag;
 use tidestair::platform::Position;
@@ -17,8 +17,8 @@
 const LIMITS: Limits = Limits {
     header_bytes: 1_000,
     body_bytes: 1_000,
-    header_time: Duration::from_secs(1),
-    idle_time: Duration::from_secs(1),
+    header_timeout: Duration::from_secs(1),
+    idle_timeout: Duration::from_secs(1),
 };
 
 /// A position of a store that never went back.
@@ -89,13 +89,13 @@
         kind: RouteKind::Safe,
         resumable: false,
         timeout: ms(1_000),
-        aim: ms(100),
-        gap_aim: None,
+        latency_slo: ms(100),
+        gap_slo: None,
         priority: 1,
-        attempts: 2,
+        max_attempts: 2,
         anonymous: true,
         targets: weights.iter().enumerate().map(target).collect(),
-        homes: Homes::default(),
+        allowed_regions: RegionList::default(),
     }
 }
 
@@ -106,8 +106,8 @@
         route("long", "a.example", "/x/y/", &[1]),
         route("other", "b.example", "/x/y/", &[1]),
     ];
-    let (priority, keys, homes) = (None, vec!["k".into()], Homes::default());
-    let workspace = Workspace { name: "w".into(), priority, keys, homes };
+    let (priority, keys, homes) = (None, vec!["k".into()], RegionList::default());
+    let workspace = Workspace { name: "w".into(), priority, keys, allowed_regions: homes };
     let table = Table::new(1, LIMITS, routes, Vec::<Service>::new(), vec![workspace]);
     let found = |host, path| table.route(host, path).map(|r| r.name.clone());
     assert_eq!(found("a.example", "/x/y/z").as_deref(), Some("long"));
@@ -134,27 +134,27 @@
 const BOUNDS: BudgetBounds =
     BudgetBounds { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) };
 
-fn spend(budget: &mut RepeatBudget, service: &Arc<str>, kind: Repeat, now: Instant) -> u32 {
-    (0..1_000).take_while(|_| budget.take(service, kind, now)).count() as u32
+fn spend(budget: &mut SharedRetryBudget, service: &Arc<str>, kind: RetryKind, now: Instant) -> u32 {
+    (0..1_000).take_while(|_| budget.spend(service, kind, now)).count() as u32
 }
 
 #[test]
 fn repeats_are_bounded_by_requests_and_slack_and_come_back_with_the_window() {
     let (now, service) = (Instant::now(), Arc::<str>::from("app"));
-    let mut budget = RepeatBudget::new(BOUNDS, now);
+    let mut budget = SharedRetryBudget::new(BOUNDS, now);
     for _ in 0..100 {
         budget.request(&service, now);
     }
-    let first = spend(&mut budget, &service, Repeat::Retry, now);
+    let first = spend(&mut budget, &service, RetryKind::Retry, now);
     assert!(first > 0 && f64::from(first) < 0.2 * 100.0 + 50.0);
     assert!(
-        spend(&mut budget, &service, Repeat::Continuation, now) > 0,
+        spend(&mut budget, &service, RetryKind::Continuation, now) > 0,
         "kept for running requests"
     );
-    assert_eq!(spend(&mut budget, &service, Repeat::Retry, now + ms(9_000)), 0);
-    assert!(spend(&mut budget, &service, Repeat::Retry, now + ms(11_000)) > 0);
+    assert_eq!(spend(&mut budget, &service, RetryKind::Retry, now + ms(9_000)), 0);
+    assert!(spend(&mut budget, &service, RetryKind::Retry, now + ms(11_000)) > 0);
     assert!(
-        spend(&mut budget, &Arc::from("other"), Repeat::Retry, now) > 0,
+        spend(&mut budget, &Arc::from("other"), RetryKind::Retry, now) > 0,
         "each service by itself"
     );
 }
@@ -164,10 +164,10 @@
     let (now, service) = (Instant::now(), Arc::<str>::from("app"));
     let mut total = 0;
     for _ in 0..daemons {
-        let mut budget = RepeatBudget::new(BOUNDS, now);
+        let mut budget = SharedRetryBudget::new(BOUNDS, now);
         let others = Others { daemons: daemons - 1, reachable: heard, ..Others::default() };
         budget.set_others(others);
-        total += spend(&mut budget, &service, Repeat::Continuation, now);
+        total += spend(&mut budget, &service, RetryKind::Continuation, now);
     }
     total
 }
@@ -182,11 +182,11 @@
 #[test]
 fn what_others_have_spent_counts() {
     let (now, service) = (Instant::now(), Arc::<str>::from("app"));
-    let mut budget = RepeatBudget::new(BOUNDS, now);
-    let spent = [(Tag::of("app"), Spent { requests: 0, repeats: 34 })];
+    let mut budget = SharedRetryBudget::new(BOUNDS, now);
+    let spent = [(Tag::of("app"), Spent { requests: 0, retries: 34 })];
     let spent = spent.into();
     budget.set_others(Others { daemons: 1, reachable: 1, spent, ..Others::default() });
-    let own = spend(&mut budget, &service, Repeat::Continuation, now);
+    let own = spend(&mut budget, &service, RetryKind::Continuation, now);
     assert!(own + 34 <= 50 && own <= 1, "{own}");
 }
 
--- a/tests/herd.rs
+++ b/tests/herd.rs
@@ -12,7 +12,7 @@
 use servers::{ENGINE, add_server};
 use std::time::Instant;
 use tidestair::gateway::place::{
-    ALIKE, Candidate, Headroom, PlacementRequest, Placing, UNSEEN_COST,
+    COST_TOLERANCE, Candidate, Headroom, PlacementPolicy, PlacementRequest, STALE_REMOTE_HALL_COST,
 };
 use tidestair::gateway::servers::{Load, Servers};
 use tidestair::gateway::table::Engine;
@@ -69,7 +69,14 @@
 
 fn request(unseen: f64) -> PlacementRequest<'static> {
     let engine = Some(&LARGE);
-    PlacementRequest { hall: "here", far: UNSEEN_COST, alike: ALIKE, unseen, load: REQUEST, engine }
+    PlacementRequest {
+        hall: "here",
+        remote_cost: STALE_REMOTE_HALL_COST,
+        cost_tolerance: COST_TOLERANCE,
+        unreported_requests: unseen,
+        load: REQUEST,
+        engine,
+    }
 }
 
 #[test]
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -241,7 +241,7 @@
         let mut own = budget(now);
         (0..requests[i]).for_each(|_| own.request(&service, now));
         let told = heard.iter().map(|j| requests[*j]).sum();
-        let spent = [(Tag::of(&service), Spent { requests: told, repeats: 0 })].into();
+        let spent = [(Tag::of(&service), Spent { requests: told, retries: 0 })].into();
         own.set_others(Others {
             daemons: requests.len() - 1,
             reachable: heard.len(),
--- a/tests/limits/play.rs
+++ b/tests/limits/play.rs
@@ -7,7 +7,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tidestair::gateway::budget::{BudgetBounds, RepeatBudget, Spent};
+use tidestair::gateway::budget::{BudgetBounds, SharedRetryBudget, Spent};
 use tidestair::gateway::cell::first_in_each_hall;
 use tidestair::gateway::cold::Rank;
 use tidestair::gateway::heartbeat::DaemonStats;
@@ -29,9 +29,9 @@
     [(3, 2, 36.0), (4, 4, 100.0), (4, 15, 150.0), (6, 49, 190.0)];
 pub const SERVICE: &str = "model";
 
-pub fn budget(now: Instant) -> RepeatBudget {
+pub fn budget(now: Instant) -> SharedRetryBudget {
     let window = Duration::from_secs(10);
-    RepeatBudget::new(BudgetBounds { ratio: 0.2, slack: 50.0, window }, now)
+    SharedRetryBudget::new(BudgetBounds { ratio: 0.2, slack: 50.0, window }, now)
 }
 
 /// How a daemon's part is found: as it is, and two others that were weighed.
@@ -49,7 +49,7 @@
 pub struct Knowing {
     pub servers: Servers,
     pub key: ServerKey,
-    pub budget: RepeatBudget,
+    pub budget: SharedRetryBudget,
     /// When it sent requests there lately, for [`Way::Counted`].
     pub sent: VecDeque<Instant>,
 }
@@ -196,14 +196,14 @@
         known.budget.set_others(others);
         let budget = &mut known.budget;
         let (part, cell_part) = match self.way {
-            Way::Equal => (1.0 / listed as f64, budget.near().count() as f64 / listed as f64),
+            Way::Equal => (1.0 / listed as f64, budget.cell_peers().count() as f64 / listed as f64),
             _ => {
                 let service = Play::service();
                 (budget.request_fraction(&service, now), budget.cell_fraction(&service, now))
             }
         };
         let rank = Rank { before: i, daemons: listed };
-        let near = budget.near();
+        let near = budget.cell_peers();
         let share = |server: Tag| {
             let (daemons, place) = (near.count(), near.place(server));
             let cell = CellShare { fraction: cell_part, daemons, position: place };
@@ -220,7 +220,7 @@
         const SHARING: usize = 64;
         let known = &mut self.known[i];
         let holders = known.limit().holders();
-        let all_hold = holders == known.budget.near().count();
+        let all_hold = holders == known.budget.cell_peers().count();
         let used_up = known.budget.rate(&Play::service(), now) > rate;
         if self.way == Way::Equal || (all_hold && used_up) {
             return false;
@@ -258,7 +258,7 @@
         }
         let sent = known.sent.len() as u32;
         let mut spent = known.budget.spent(now);
-        let counted = Spent { requests: sent, repeats: 0 };
+        let counted = Spent { requests: sent, retries: 0 };
         spent.push((Tag::of("sent"), counted));
         let node = &mut self.fleet.nodes[i];
         node.own.stats = DaemonStats { spent, ..DaemonStats::default() };
--- a/tests/mirror/stand_ins.rs
+++ b/tests/mirror/stand_ins.rs
@@ -127,8 +127,8 @@
         let limits = Limits {
             header_bytes: 1,
             body_bytes: 1,
-            header_time: Duration::ZERO,
-            idle_time: Duration::ZERO,
+            header_timeout: Duration::ZERO,
+            idle_timeout: Duration::ZERO,
         };
         Ok(Table::new(version, limits, Vec::new(), Vec::new(), Vec::new()))
     }
@@ -215,7 +215,7 @@
 pub fn node(now: Instant) -> Node {
     let budget = BudgetBounds { ratio: 0.2, slack: 1.0, window: Duration::from_secs(1) };
     let bounds = Bounds {
-        revoke: Some(Duration::from_secs(5)),
+        revocation_delay: Some(Duration::from_secs(5)),
         budget,
         cold: ColdBounds::default(),
         exposure: 0.1,
--- a/tests/placing.rs
+++ b/tests/placing.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 use tidestair::gateway::place::{
-    ALIKE, COPY_ALIKE, Candidate, FAR_COPY_COST, FAR_COST, Headroom, PlacementRequest, Placing,
-    UNSEEN_COST,
+    COPY_COST_TOLERANCE, COST_TOLERANCE, Candidate, Headroom, PlacementPolicy, PlacementRequest,
+    REMOTE_HALL_COPY_COST, REMOTE_HALL_COST, STALE_REMOTE_HALL_COST,
 };
 use tidestair::gateway::policies::{NAMES, by_name};
 use tidestair::gateway::servers::{Load, Servers};
@@ -42,7 +42,7 @@
 }
 
 fn chosen_by(
-    placing: &dyn Placing,
+    placing: &dyn PlacementPolicy,
     servers: &[(&str, Load)],
     load: Load,
     far: f64,
@@ -52,8 +52,14 @@
     for (i, (hall, load)) in servers.iter().enumerate() {
         add_server(&mut known, i, hall, *load);
     }
-    let need =
-        PlacementRequest { hall: "here", far, alike, unseen: 0.0, load, engine: Some(&ENGINE) };
+    let need = PlacementRequest {
+        hall: "here",
+        remote_cost: far,
+        cost_tolerance: alike,
+        unreported_requests: 0.0,
+        load,
+        engine: Some(&ENGINE),
+    };
     let candidates: Vec<Candidate<'_>> = known
         .open("model")
         .map(|(key, server)| Candidate { key, server, load: server.load() })
@@ -64,7 +70,7 @@
 }
 
 fn copied_to(servers: &[(&str, Load)]) -> BTreeSet<usize> {
-    chosen(servers, RUN, FAR_COPY_COST, COPY_ALIKE)
+    chosen(servers, RUN, REMOTE_HALL_COPY_COST, COPY_COST_TOLERANCE)
 }
 
 #[test]
@@ -97,14 +103,14 @@
 #[test]
 fn a_request_goes_to_the_server_with_the_most_room() {
     let servers = [("here", runs(2)), ("there", runs(0)), ("here", runs(3))];
-    assert_eq!(chosen(&servers, REQUEST, FAR_COST, ALIKE), BTreeSet::from([1]));
+    assert_eq!(chosen(&servers, REQUEST, REMOTE_HALL_COST, COST_TOLERANCE), BTreeSet::from([1]));
 }
 
 #[test]
 fn a_request_leaves_its_hall_only_for_much_where_loads_there_are_told_late() {
     let far = |here: u32| {
         let servers = [("here", runs(here)), ("there", runs(0))];
-        chosen(&servers, REQUEST, UNSEEN_COST, ALIKE) == BTreeSet::from([1])
+        chosen(&servers, REQUEST, STALE_REMOTE_HALL_COST, COST_TOLERANCE) == BTreeSet::from([1])
     };
     assert!(!far(3));
     assert!(far(6));
@@ -114,7 +120,7 @@
 fn prompts_that_are_still_to_be_read_weigh() {
     let reading = Load { unread_prompt: 6_000, ..runs(1) };
     let servers = [("here", reading), ("here", runs(3))];
-    assert_eq!(chosen(&servers, REQUEST, FAR_COST, ALIKE), BTreeSet::from([1]));
+    assert_eq!(chosen(&servers, REQUEST, REMOTE_HALL_COST, COST_TOLERANCE), BTreeSet::from([1]));
 }
 
 #[test]
@@ -123,7 +129,7 @@
     let by = |name: &str| {
         let placing = by_name(name).expect("a policy of that name");
         assert_eq!(placing.name(), name);
-        chosen_by(&*placing, &servers, REQUEST, FAR_COST, ALIKE)
+        chosen_by(&*placing, &servers, REQUEST, REMOTE_HALL_COST, COST_TOLERANCE)
     };
     assert_eq!(by("least-load"), BTreeSet::from([0, 2]));
     assert_eq!(by("headroom"), BTreeSet::from([0, 2]));
@@ -133,6 +139,6 @@
     assert!(by_name("first").is_none());
     for name in NAMES {
         let placing = by_name(name).expect("a policy of that name");
-        assert!(chosen_by(&*placing, &[], REQUEST, FAR_COST, ALIKE).is_empty());
+        assert!(chosen_by(&*placing, &[], REQUEST, REMOTE_HALL_COST, COST_TOLERANCE).is_empty());
     }
 }
