--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -25,7 +25,7 @@
     COST_TOLERANCE, Candidate, Headroom, PlacementPolicy, PlacementRequest, STALE_REMOTE_HALL_COST,
 };
 use tidestair::gateway::port::{Change, Entry};
-use tidestair::gateway::quarantine::{Quarantine, Run};
+use tidestair::gateway::quarantine::{Quarantine, RunProgress};
 use tidestair::gateway::regions::Regions;
 use tidestair::gateway::roster::{Daemon, Listing, Roster};
 use tidestair::gateway::servers::{Load, Observations, ServerRecord, Servers};
@@ -101,11 +101,11 @@
     let (mut quarantine, now) = (Quarantine::default(), Instant::now());
     let requests = (0..256u64).map(|n| Fingerprint::new("/path", "caller", &n.to_be_bytes()));
     for request in requests {
-        quarantine.ended(request, Tag::of_number(1), Run::Unseen, now);
+        quarantine.record_ended(request, Tag::of_number(1), RunProgress::NoEvents, now);
     }
     let others = quarantine.for_peers(now).into_iter().collect();
     micros(20_000, || {
-        quarantine.set_others(&others, now);
+        quarantine.set_peer_reports(&others, now);
         black_box(quarantine.for_peers(now));
     })
 }
--- a/src/gateway/cluster.rs
+++ b/src/gateway/cluster.rs
@@ -376,7 +376,7 @@
             let servers = self.gateway.servers();
             let (loads, outcomes) = (servers.own_loads(), servers.own_outcomes(now));
             let tallies = rollouts.tallies.into_iter().collect();
-            let orders = rollouts.ages.into_iter().collect();
+            let orders = rollouts.order_ages_ms.into_iter().collect();
             (
                 DaemonStats { loads, spent, outcomes, evidence, tallies, rollout_ages: orders },
                 servers.observations(now),
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -4,7 +4,7 @@
 use crate::gateway::core::Gateway;
 use crate::gateway::limited::SERVERS_IN_NEED;
 use crate::gateway::port::{Lost, Reply, Sending};
-use crate::gateway::quarantine::Run;
+use crate::gateway::quarantine::RunProgress;
 use crate::gateway::relay;
 use crate::gateway::request::{Answer, AnswerBody, BrokenOff, Call, full_body};
 use crate::gateway::servers::ServerKey;
@@ -233,7 +233,7 @@
         let knew = slot.store_age_ms();
         info!(id = id, route = route, server = server, status = status, whole = whole, ms = ms, knowledge_ms = knew; "answer from a server");
         let Ok(answer) = answer else {
-            self.gateway.handle_lost_run(self.call, &slot, Run::Unseen).await;
+            self.gateway.handle_lost_run(self.call, &slot, RunProgress::NoEvents).await;
             return Sent::Failed(None, "broken_answer");
         };
         self.gateway.note_survived(self.call);
@@ -254,7 +254,7 @@
             }
             Lost::Unanswered { reason } => {
                 warn!(id = id, server = server, reason = reason.as_str(); "no answer from a server");
-                self.gateway.handle_lost_run(self.call, slot, Run::Unseen).await;
+                self.gateway.handle_lost_run(self.call, slot, RunProgress::NoEvents).await;
                 Sent::Failed(None, "no_answer")
             }
         }
--- a/src/gateway/mirror/enforce.rs
+++ b/src/gateway/mirror/enforce.rs
@@ -63,7 +63,7 @@
 
     fn take_rollout(&self, service: &str, revision: Position, value: Option<&[u8]>, now: Instant) {
         match value.map(|value| self.schema.rollout(service, value)).transpose() {
-            Ok(order) => self.gateway.take_order(service, revision, order, now),
+            Ok(order) => self.gateway.apply_rollout_order(service, revision, order, now),
             Err(e) => {
                 warn!(service = service, why = e.0.as_str(); "order for a roll-out not readable: write it again")
             }
@@ -78,7 +78,7 @@
         now: Instant,
     ) {
         match value.map(serde_json::from_slice).transpose() {
-            Ok(Some(record)) => self.gateway.take_record(service, revision, record, now),
+            Ok(Some(record)) => self.gateway.apply_rollout_record(service, revision, record, now),
             Ok(None) => {}
             Err(e) => {
                 warn!(service = service, why = e.to_string().as_str(); "record of a roll-out not readable")
@@ -155,8 +155,8 @@
         info!(request = request, held = quarantined; "request that ends servers");
         let mut quarantine = self.gateway.quarantine();
         match quarantined {
-            true => quarantine.is_stored(fingerprint, now),
-            false => quarantine.is_released(fingerprint, now),
+            true => quarantine.mark_stored(fingerprint, now),
+            false => quarantine.release(fingerprint, now),
         }
         drop(quarantine);
         self.gateway.quarantine_changed.notify_one();
--- a/src/gateway/mirror/retained.rs
+++ b/src/gateway/mirror/retained.rs
@@ -110,7 +110,7 @@
         info!(key = key, over = kept.over.revision; "the store has lost a value that still holds");
         let request = key.strip_prefix(self.schema.quarantine()).and_then(Fingerprint::parse);
         if let Some(request) = request.filter(|_| !kept.content.is_deleted()) {
-            self.gateway.quarantine().is_lost(request, now);
+            self.gateway.quarantine().mark_lost(request, now);
             self.gateway.quarantine_changed.notify_one();
         }
         state.retained.insert(key.into(), kept);
@@ -132,7 +132,7 @@
         };
         match serde_json::from_slice(value) {
             Ok(record) => {
-                self.gateway.rollouts().lose_record(service, record, at, now);
+                self.gateway.rollouts().set_lost_record(service, record, at, now);
                 self.gateway.rollout_changed.notify_one();
             }
             Err(e) => {
--- a/src/gateway/quarantine.rs
+++ b/src/gateway/quarantine.rs
@@ -32,7 +32,7 @@
 const SUSPECT: u32 = 4;
 /// Time after the last server's end for which a request is remembered: the longest lease that the platform's
 /// store gives, so that its record there lapses at about the same time.
-pub const MEMORY: Duration = Duration::from_secs(600);
+pub const QUARANTINE_TTL: Duration = Duration::from_secs(600);
 /// The same for what was seen of it: it lapses before what it proved does, so that the end of a quarantine is
 /// not taken back by a daemon's last word.
 const SUSPECTED: Duration = Duration::from_secs(540);
@@ -87,7 +87,8 @@
     /// Leaves out servers that had shown an event of this request, and none of another suspected one.
     fn leave_out_begun(&mut self, suspect: &Evidence) {
         let counts = |server: &Tag, blame: &u32| {
-            *blame >= Run::Unseen.blame() || suspect.ended.get(server) < Some(&Run::Unseen.blame())
+            *blame >= RunProgress::NoEvents.blame()
+                || suspect.ended.get(server) < Some(&RunProgress::NoEvents.blame())
         };
         self.ended.retain(|server, blame| counts(server, blame));
     }
@@ -109,21 +110,21 @@
 
 /// How far a run had come when its server ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Run {
+pub enum RunProgress {
     /// Nothing of its answer had come.
-    Unseen,
+    NoEvents,
     /// Its first events had come.
     Begun,
 }
 
-impl Run {
+impl RunProgress {
     /// How much the server's end counts against the request, in halves. All 42 servers that were seen to end
     /// under a deadly request had shown nothing of it; what has begun has most often met the end of a server by
     /// chance.
     fn blame(self) -> u32 {
         match self {
-            Run::Unseen => 2,
-            Run::Begun => 1,
+            RunProgress::NoEvents => 2,
+            RunProgress::Begun => 1,
         }
     }
 }
@@ -183,7 +184,7 @@
 
 impl Quarantine {
     /// Notes that a server survived a run of a request: what ended before under it, ended for another reason.
-    pub fn survived(&mut self, request: Fingerprint, now: Instant) {
+    pub fn record_survived(&mut self, request: Fingerprint, now: Instant) {
         self.survivors.note(request, now);
         self.own.remove(&request);
         self.quarantined.remove(&request);
@@ -191,7 +192,13 @@
 
     /// Notes that a server, known by the tag of its start, ended as it began to run a request. Says whether
     /// that proves that the request ends servers.
-    pub fn ended(&mut self, request: Fingerprint, server: Tag, run: Run, now: Instant) -> bool {
+    pub fn record_ended(
+        &mut self,
+        request: Fingerprint,
+        server: Tag,
+        run: RunProgress,
+        now: Instant,
+    ) -> bool {
         // Beside a survivor it must not count later either, when a service has had no server at all for longer
         // than the survivor speaks.
         let blame = if self.survivors.speaks_for(request, now) { 0 } else { run.blame() };
@@ -217,7 +224,7 @@
 
     /// Takes over what the other daemons told. What was proved once stays so when one of them falls silent,
     /// but not when a server has survived it.
-    pub fn set_others(&mut self, others: &HashMap<Fingerprint, Evidence>, now: Instant) {
+    pub fn set_peer_reports(&mut self, others: &HashMap<Fingerprint, Evidence>, now: Instant) {
         self.others.clone_from(others);
         for (request, evidence) in others {
             if evidence.survived {
@@ -241,7 +248,7 @@
             self.quarantined_for(request, now).is_none() && !self.released.contains_key(&request);
         let proved = is_open && self.is_proved(request, now);
         if proved {
-            self.quarantined.insert(request, now + MEMORY);
+            self.quarantined.insert(request, now + QUARANTINE_TTL);
             if self.own.contains_key(&request) {
                 self.unsaved.push(request);
             }
@@ -296,20 +303,20 @@
     }
 
     /// The store holds a record of a request.
-    pub fn is_stored(&mut self, request: Fingerprint, now: Instant) {
-        self.stored.entry(request).or_insert(now + MEMORY);
+    pub fn mark_stored(&mut self, request: Fingerprint, now: Instant) {
+        self.stored.entry(request).or_insert(now + QUARANTINE_TTL);
     }
 
     /// The store has lost its record of a request, which is to be written again.
-    pub fn is_lost(&mut self, request: Fingerprint, now: Instant) {
-        let until = self.stored.remove(&request).unwrap_or(now + MEMORY);
+    pub fn mark_lost(&mut self, request: Fingerprint, now: Instant) {
+        let until = self.stored.remove(&request).unwrap_or(now + QUARANTINE_TTL);
         self.quarantined.entry(request).or_insert(until);
         self.lost.push(request);
     }
 
     /// The store's record of a request is gone: it has lapsed, or an operator took it away. Whatever is known
     /// of the request is forgotten.
-    pub fn is_released(&mut self, request: Fingerprint, now: Instant) {
+    pub fn release(&mut self, request: Fingerprint, now: Instant) {
         self.released.insert(request, now);
         self.stored.remove(&request);
         self.quarantined.remove(&request);
@@ -351,12 +358,12 @@
         let spoken_for = elsewhere.filter(|request| self.survivors.speaks_for(**request, now));
         let told = self.own.keys().chain(spoken_for);
         let told = told.map(|request| (*request, self.seen(*request, now)));
-        most_ended(told.collect())
+        top_suspects(told.collect())
     }
 }
 
 /// The requests under which most servers ended, as many as are told.
-pub(crate) fn most_ended(mut told: Vec<(Fingerprint, Evidence)>) -> Vec<(Fingerprint, Evidence)> {
+pub(crate) fn top_suspects(mut told: Vec<(Fingerprint, Evidence)>) -> Vec<(Fingerprint, Evidence)> {
     if told.len() > MAX_REPORTED {
         told.sort_by_key(|(request, evidence)| (Reverse(evidence.blame()), *request));
         told.truncate(MAX_REPORTED);
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -9,7 +9,7 @@
 use crate::gateway::forward::Sent;
 use crate::gateway::moving::{self, Moved};
 use crate::gateway::port::{Reply, RunCopy, Sending};
-use crate::gateway::quarantine::Run;
+use crate::gateway::quarantine::RunProgress;
 use crate::gateway::request::{Answer, BrokenOff, Call};
 use crate::gateway::slot::Slot;
 use crate::gateway::table::Service;
@@ -66,7 +66,7 @@
         Step::Event(event) => event,
         Step::Ended | Step::Broke(_) => {
             slot.record_result(true);
-            gateway.handle_lost_run(call, &slot, Run::Unseen).await;
+            gateway.handle_lost_run(call, &slot, RunProgress::NoEvents).await;
             return Sent::Failed(None, "no_event");
         }
     };
@@ -230,7 +230,8 @@
                     false => {
                         moving = None;
                         if self.is_young(time::now()) {
-                            let run = self.began.map_or(Run::Unseen, |_| Run::Begun);
+                            let run =
+                                self.began.map_or(RunProgress::NoEvents, |_| RunProgress::Begun);
                             self.gateway.handle_lost_run(&self.call, &self.slot, run).await;
                         }
                         self.run_again(why).await
--- a/src/gateway/rollout.rs
+++ b/src/gateway/rollout.rs
@@ -62,7 +62,7 @@
     /// The new version.
     pub version: Arc<str>,
     /// Time from the order within which it is to be in force.
-    pub time: Duration,
+    pub time_limit: Duration,
 }
 
 /// Requests of one route at the servers of one arm of a roll-out.
@@ -86,24 +86,24 @@
     /// How requests went.
     pub tallies: HashMap<Stratum, Tally>,
     /// How long ago orders were given at least, in milliseconds.
-    pub ages: HashMap<Tag, u32>,
+    pub order_ages_ms: HashMap<Tag, u32>,
 }
 
 /// The servers of a service by version.
 #[derive(Debug, Clone, Default)]
-pub struct Census {
+pub struct VersionCounts {
     /// Whether they have been counted since the order.
     pub counted: bool,
     /// Whether the configuration declares the service.
     pub declared: bool,
     /// Servers of the candidate that take requests, in an order that all daemons see alike.
-    pub candidate: Vec<ServerKey>,
+    pub ready_candidates: Vec<ServerKey>,
     /// Servers of the candidate that are listed.
-    pub candidates: usize,
+    pub candidate_count: usize,
     /// Servers of the baseline that are listed.
-    pub baseline: usize,
+    pub baseline_count: usize,
     /// What runs at those.
-    pub runs: u32,
+    pub baseline_runs: u32,
 }
 
 /// A step that is due in a roll-out.
@@ -128,11 +128,11 @@
     /// How far the store says it has come, and since when this daemon knows.
     state: Option<(State, Instant)>,
     /// Why this daemon sends nothing to the candidate.
-    halted: Option<&'static str>,
+    halt_reason: Option<&'static str>,
     own: HashMap<(Tag, Arm), Tally>,
     others: HashMap<(Tag, Arm), Tally>,
     test: Test,
-    census: Census,
+    census: VersionCounts,
     /// Whether servers of the baseline were seen since the order.
     had_baseline: bool,
 }
@@ -145,11 +145,11 @@
             tag: tag(service, position),
             began: now,
             state: None,
-            halted: None,
+            halt_reason: None,
             own: HashMap::new(),
             others: HashMap::new(),
             test: Test::default(),
-            census: Census::default(),
+            census: VersionCounts::default(),
             had_baseline: false,
         }
     }
@@ -163,7 +163,7 @@
     fn state(&self) -> State {
         match self.state {
             Some((State::Completed, _)) => State::Completed,
-            _ if self.halted.is_some() => State::Reverted,
+            _ if self.halt_reason.is_some() => State::Reverted,
             Some((state, _)) => state,
             None => State::Trial,
         }
@@ -171,8 +171,8 @@
 
     /// Time for the shift of all traffic and of the runs under way.
     fn shift(&self) -> Duration {
-        let shift = self.order.time.mul_f64(SHIFT_FRACTION);
-        shift.clamp(SHORTEST_SHIFT, LONGEST_SHIFT).min(self.order.time)
+        let shift = self.order.time_limit.mul_f64(SHIFT_FRACTION);
+        shift.clamp(SHORTEST_SHIFT, LONGEST_SHIFT).min(self.order.time_limit)
     }
 
     /// Time in which the candidate's part of the requests grows to all of them.
@@ -201,7 +201,7 @@
 
     /// Requests of a route at both arms.
     fn requests(&self, route: Tag) -> u32 {
-        self.total(route, Arm::Baseline).tried + self.total(route, Arm::Candidate).tried
+        self.total(route, Arm::Baseline).requests + self.total(route, Arm::Candidate).requests
     }
 
     /// Part of a route's requests that go to the candidate in its trial: all routes get as many there, as far as
@@ -219,8 +219,8 @@
 
     /// The candidate's servers that get its requests at present.
     fn canaries(&self, bound: f64, now: Instant) -> Vec<ServerKey> {
-        let all = &self.census.candidate;
-        let count = (self.census.baseline as f64 * bound * USED_FRACTION).ceil() as usize;
+        let all = &self.census.ready_candidates;
+        let count = (self.census.baseline_count as f64 * bound * USED_FRACTION).ceil() as usize;
         let count = count.clamp(1, all.len().max(1));
         let turn = (self.age(now).as_millis() / CANARY_TIME.as_millis()) as usize;
         let from = turn * count;
@@ -230,13 +230,13 @@
     /// Where a request goes, which `drawn` from zero to one tells; `None` where all servers are alike to it.
     fn pick(&self, drawn: Draw, bound: f64, now: Instant) -> Option<Pick> {
         let state = self.state();
-        let is_alone = self.census.counted && self.census.baseline == 0;
+        let is_alone = self.census.counted && self.census.baseline_count == 0;
         if state == State::Completed || (is_alone && state != State::Reverted) {
             return None;
         }
         let part = match drawn {
             Draw::First(route, _) => self.candidate_fraction(route, bound),
-            Draw::Again => 0.0,
+            Draw::Retry => 0.0,
         };
         let part = match self.state {
             Some((State::Shift, since)) if state == State::Shift => {
@@ -247,7 +247,7 @@
         };
         let is_candidate = match drawn {
             Draw::First(_, drawn) => drawn < part,
-            Draw::Again => part >= 1.0,
+            Draw::Retry => part >= 1.0,
         };
         let version = self.order.version.clone();
         let baseline = Pick { version, arm: Arm::Baseline, only: Vec::new() };
@@ -255,7 +255,7 @@
             State::Trial if is_candidate => self.canaries(bound, now),
             _ => Vec::new(),
         };
-        let shifts = state == State::Shift && self.census.candidates > 0;
+        let shifts = state == State::Shift && self.census.candidate_count > 0;
         let to_candidate = is_candidate && (shifts || !only.is_empty());
         Some(if to_candidate { Pick { arm: Arm::Candidate, only, ..baseline } } else { baseline })
     }
@@ -267,26 +267,25 @@
         let past = now.saturating_duration_since(since);
         match self.state() {
             State::Trial => None,
-            State::Shift => (past >= self.ramp() && self.census.candidates > 0)
+            State::Shift => (past >= self.ramp() && self.census.candidate_count > 0)
+                .then(|| Retired::Others(version())),
+            State::Completed => (past < STOPPING && self.census.candidate_count > 0)
                 .then(|| Retired::Others(version())),
-            State::Completed => {
-                (past < STOPPING && self.census.candidates > 0).then(|| Retired::Others(version()))
-            }
             State::Reverted => Some(Retired::Version(version())),
         }
     }
 
     /// Tests what was counted.
-    fn weigh(&mut self) {
+    fn evaluate(&mut self) {
         if self.state().is_final() {
             return;
         }
         for route in self.routes() {
             let (baseline, candidate) =
                 (self.total(route, Arm::Baseline), self.total(route, Arm::Candidate));
-            let fault = self.test.weigh(route, &baseline, &candidate);
+            let fault = self.test.evaluate(route, &baseline, &candidate);
             if let Some(fault) = fault {
-                self.halted.get_or_insert(fault.name());
+                self.halt_reason.get_or_insert(fault.name());
             }
         }
     }
@@ -294,7 +293,7 @@
     /// Whether the candidate has been tried enough, on each route, and nothing speaks against it.
     fn is_sound(&self, bound: f64) -> bool {
         let routes = self.routes();
-        let tried = |route: &Tag| self.total(*route, Arm::Candidate).tried;
+        let tried = |route: &Tag| self.total(*route, Arm::Candidate).requests;
         let expected = |route: &Tag| f64::from(self.requests(*route)) * bound * USED_FRACTION;
         let is_tried = |route: &Tag| {
             tried(route) >= LEAST_TRIED_OF_ROUTE
@@ -312,13 +311,13 @@
         let Some((state, since)) = self.state else {
             return step(State::Trial, "ordered");
         };
-        if let Some(why) = self.halted.filter(|_| !state.is_final()) {
+        if let Some(why) = self.halt_reason.filter(|_| !state.is_final()) {
             return step(State::Reverted, why);
         }
-        let (age, time) = (self.age(now), self.order.time);
+        let (age, time) = (self.age(now), self.order.time_limit);
         let ends = age + LAST_MOMENT >= time;
         match state {
-            State::Trial if self.census.candidates == 0 => match self.census.declared {
+            State::Trial if self.census.candidate_count == 0 => match self.census.declared {
                 false if age >= SETTLED => step(State::Reverted, "the service is not declared"),
                 _ if ends => step(State::Reverted, "no server of the version came"),
                 _ => None,
@@ -341,7 +340,7 @@
             State::Shift => {
                 let moved = now.saturating_duration_since(since) >= 2 * self.ramp();
                 match () {
-                    () if moved && self.census.runs == 0 => {
+                    () if moved && self.census.baseline_runs == 0 => {
                         step(State::Completed, "all runs have ended or moved")
                     }
                     () if ends => step(State::Completed, "time is over"),
--- a/src/gateway/rollout/controller.rs
+++ b/src/gateway/rollout/controller.rs
@@ -5,7 +5,7 @@
 use crate::gateway::mirror::Mirror;
 use crate::gateway::port::Swap;
 use crate::gateway::port::{Schema, Store};
-use crate::gateway::rollout::{Census, Draw, Order, Pick, Record, Rollouts, Step};
+use crate::gateway::rollout::{Draw, Order, Pick, Record, Rollouts, Step, VersionCounts};
 use crate::gateway::server::Server;
 use crate::gateway::servers::ServerKey;
 use crate::platform::{PlatformResult, Position};
@@ -33,7 +33,7 @@
     }
 
     /// Takes in an order of the operators, or with `None` that it was withdrawn.
-    pub(crate) fn take_order(
+    pub(crate) fn apply_rollout_order(
         &self,
         service: &str,
         revision: Position,
@@ -42,18 +42,18 @@
     ) {
         match &order {
             Some(order) => {
-                let ms = order.time.as_millis() as u64;
+                let ms = order.time_limit.as_millis() as u64;
                 info!(service = service, version = &*order.version, ms = ms; "roll-out ordered");
             }
             None => info!(service = service; "roll-out withdrawn"),
         }
-        self.rollouts().order(service, revision, order, now);
+        self.rollouts().set_order(service, revision, order, now);
         self.look_at_rollouts(now);
         self.rollout_changed.notify_one();
     }
 
     /// Takes in the store's record of a roll-out.
-    pub(crate) fn take_record(
+    pub(crate) fn apply_rollout_record(
         &self,
         service: &str,
         revision: Position,
@@ -62,7 +62,7 @@
     ) {
         let (state, why) = (record.state.name(), record.why.clone());
         // The daemon that wrote it reads it once more with its copy of the store.
-        if !self.rollouts().record(service, revision, record, now) {
+        if !self.rollouts().set_record(service, revision, record, now) {
             return;
         }
         info!(service = service, state = state, why = why.as_str(); "roll-out");
@@ -92,8 +92,8 @@
             let census = self.census(&service, &version, now);
             let (retired, halted) = {
                 let mut rollouts = self.rollouts();
-                rollouts.count(&service, census);
-                (rollouts.retired(&service, now), rollouts.halted(&service))
+                rollouts.set_counts(&service, census);
+                (rollouts.retired(&service, now), rollouts.halt_reason(&service))
             };
             if self.servers().retire(&service, retired.clone()) {
                 let why = halted.unwrap_or("recorded");
@@ -102,30 +102,34 @@
         }
     }
 
-    fn census(&self, service: &str, version: &str, now: Instant) -> Census {
+    fn census(&self, service: &str, version: &str, now: Instant) -> VersionCounts {
         let declared = self.in_force.get();
         let declared = declared.as_ref().and_then(|d| d.table.service(service));
         let is_cold = |server: &Server| declared.is_some_and(|s| server.is_cold(s.warm_up, now));
-        let mut census =
-            Census { counted: true, declared: declared.is_some(), ..Census::default() };
+        let mut census = VersionCounts {
+            counted: true,
+            declared: declared.is_some(),
+            ..VersionCounts::default()
+        };
         let servers = self.servers();
         let mut candidate = Vec::new();
         for (key, server) in servers.listed(service) {
             match *server.record.version == *version {
                 true => {
-                    census.candidates += 1;
+                    census.candidate_count += 1;
                     if server.is_open() && !is_cold(server) {
                         candidate.push((server.tag(), key));
                     }
                 }
                 false => {
-                    census.baseline += 1;
-                    census.runs += server.load().runs;
+                    census.baseline_count += 1;
+                    census.baseline_runs += server.load().runs;
                 }
             }
         }
         candidate.sort_unstable_by_key(|(tag, _)| *tag);
-        census.candidate = candidate.into_iter().map(|(_, key): (_, ServerKey)| key).collect();
+        census.ready_candidates =
+            candidate.into_iter().map(|(_, key): (_, ServerKey)| key).collect();
         census
     }
 }
@@ -164,7 +168,7 @@
     /// Takes the steps that are due until the process ends.
     pub async fn run(mut self) {
         loop {
-            if !self.gateway.rollouts().is_live(time::now()) {
+            if !self.gateway.rollouts().is_active(time::now()) {
                 self.gateway.rollout_changed.notified().await;
             }
             self.look(time::now()).await;
@@ -174,10 +178,10 @@
 
     async fn look(&mut self, now: Instant) {
         self.gateway.listen(now);
-        self.gateway.rollouts().weigh();
+        self.gateway.rollouts().evaluate();
         self.gateway.look_at_rollouts(now);
         self.write_lost(now).await;
-        let steps = self.gateway.rollouts().due(self.gateway.exposure(), now);
+        let steps = self.gateway.rollouts().due_steps(self.gateway.exposure(), now);
         self.due.retain(|service, _| steps.iter().any(|(due, _)| due == service));
         for (service, step) in steps {
             let due = self.due.entry(service.clone()).or_insert(Due { step, since: now });
@@ -226,7 +230,7 @@
         match self.write(service, replaced, &record).await {
             Ok(Swap::Won(revision)) => {
                 info!(service = &**service, state = record.state.name(), why = record.why.as_str(); "roll-out's step recorded");
-                self.gateway.take_record(service, revision, record, time::now());
+                self.gateway.apply_rollout_record(service, revision, record, time::now());
             }
             // Its record comes with the copy of the store.
             Ok(Swap::Lost) => info!(service = &**service; "another daemon records the roll-out"),
--- a/src/gateway/rollout/pick.rs
+++ b/src/gateway/rollout/pick.rs
@@ -29,11 +29,11 @@
     /// Whether a server is among them.
     pub fn admits(&self, key: ServerKey, server: &Server) -> bool {
         let is_candidate = server.record.version == self.version;
-        is_candidate == (self.arm == Arm::Candidate) && self.has(key)
+        is_candidate == (self.arm == Arm::Candidate) && self.allows(key)
     }
 
     /// Whether a server of the right version is among them.
-    pub fn has(&self, key: ServerKey) -> bool {
+    pub fn allows(&self, key: ServerKey) -> bool {
         self.only.is_empty() || self.only.contains(&key)
     }
 
@@ -68,7 +68,7 @@
     /// A request that was not sent yet: its route, and a number from zero to one of its own.
     First(Tag, f64),
     /// One that was sent before, or a run that moves.
-    Again,
+    Retry,
 }
 
 impl Draw {
--- a/src/gateway/rollout/rollouts.rs
+++ b/src/gateway/rollout/rollouts.rs
@@ -2,8 +2,8 @@
 
 use super::record::Recorded;
 use super::{
-    Arm, Census, Draw, Order, Pick, Record, Reports, Retired, Rollout, STOPPING, State, Step,
-    Stratum, tag,
+    Arm, Draw, Order, Pick, Record, Reports, Retired, Rollout, STOPPING, State, Step, Stratum,
+    VersionCounts, tag,
 };
 use crate::gateway::clock::{millis_between, minus_millis};
 use crate::gateway::tag::Tag;
@@ -21,7 +21,13 @@
 
 impl Rollouts {
     /// Takes in an order, or with `None` that it was withdrawn.
-    pub fn order(&mut self, service: &str, position: Position, order: Option<Order>, now: Instant) {
+    pub fn set_order(
+        &mut self,
+        service: &str,
+        position: Position,
+        order: Option<Order>,
+        now: Instant,
+    ) {
         match order {
             Some(order) => {
                 let known = self.by_service.get(service);
@@ -34,14 +40,14 @@
             }
             None => {
                 if let Some(rollout) = self.by_service.get_mut(service) {
-                    rollout.halted.get_or_insert("the order was withdrawn");
+                    rollout.halt_reason.get_or_insert("the order was withdrawn");
                 }
             }
         }
     }
 
     /// Takes in what the store says of how far a roll-out has come. Says whether that was not known before.
-    pub fn record(
+    pub fn set_record(
         &mut self,
         service: &str,
         position: Position,
@@ -61,7 +67,7 @@
 
     /// The store has lost the record of a roll-out, which is to be written again; it has an older one there, or none
     /// where that is the start.
-    pub fn lose_record(&mut self, service: &str, record: Record, at: Position, now: Instant) {
+    pub fn set_lost_record(&mut self, service: &str, record: Record, at: Position, now: Instant) {
         self.records.insert(service.into(), Recorded { record, at, stored: false });
         self.apply_record(service, now);
     }
@@ -101,7 +107,7 @@
     }
 
     /// Whether any roll-out is under way, or its old servers are about to stop.
-    pub fn is_live(&self, now: Instant) -> bool {
+    pub fn is_active(&self, now: Instant) -> bool {
         let stops = |rollout: &Rollout| match rollout.state {
             Some((State::Completed, since)) => now.saturating_duration_since(since) < STOPPING,
             _ => false,
@@ -149,7 +155,7 @@
     }
 
     /// Notes an answer with its time, or with `None` a failure.
-    pub fn note(&mut self, stratum: Stratum, time: Option<Duration>) {
+    pub fn record_outcome(&mut self, stratum: Stratum, time: Option<Duration>) {
         let rollout = self.by_service.values_mut().find(|r| r.tag == stratum.rollout);
         if let Some(rollout) = rollout {
             rollout.own.entry((stratum.route, stratum.arm)).or_default().note(time);
@@ -160,7 +166,7 @@
     pub fn for_peers(&self, now: Instant) -> Reports {
         let mut reports = Reports::default();
         for (_, rollout) in self.live() {
-            reports.ages.insert(rollout.tag, millis_between(rollout.began, now));
+            reports.order_ages_ms.insert(rollout.tag, millis_between(rollout.began, now));
             let stratum = |(route, arm)| Stratum { rollout: rollout.tag, route, arm };
             let own = rollout.own.iter().map(|(key, tally)| (stratum(*key), *tally));
             reports.tallies.extend(own);
@@ -169,33 +175,33 @@
     }
 
     /// Takes over what the other daemons told.
-    pub fn set_others(&mut self, heard: &Reports, now: Instant) {
+    pub fn set_peer_reports(&mut self, heard: &Reports, now: Instant) {
         for rollout in self.by_service.values_mut() {
             rollout.others.clear();
             let its = heard.tallies.iter().filter(|(stratum, _)| stratum.rollout == rollout.tag);
             rollout.others.extend(its.map(|(s, tally)| ((s.route, s.arm), *tally)));
             // An order is as old as any daemon knows it to be.
-            let age = heard.ages.get(&rollout.tag).and_then(|age| minus_millis(now, *age));
+            let age = heard.order_ages_ms.get(&rollout.tag).and_then(|age| minus_millis(now, *age));
             rollout.began = age.map_or(rollout.began, |began| began.min(rollout.began));
         }
     }
 
     /// Tests what was counted since the last time. Answers of one moment are late together, so that this is done some
     /// times a second and not for each of them.
-    pub fn weigh(&mut self) {
-        self.by_service.values_mut().for_each(Rollout::weigh);
+    pub fn evaluate(&mut self) {
+        self.by_service.values_mut().for_each(Rollout::evaluate);
     }
 
     /// Takes in which servers a service with a roll-out has.
-    pub fn count(&mut self, service: &str, census: Census) {
+    pub fn set_counts(&mut self, service: &str, census: VersionCounts) {
         if let Some(rollout) = self.by_service.get_mut(service) {
-            rollout.had_baseline |= census.baseline > 0;
+            rollout.had_baseline |= census.baseline_count > 0;
             rollout.census = census;
         }
     }
 
     /// The steps that are due.
-    pub fn due(&self, bound: f64, now: Instant) -> Vec<(Arc<str>, Step)> {
+    pub fn due_steps(&self, bound: f64, now: Instant) -> Vec<(Arc<str>, Step)> {
         let due = self.live();
         due.filter_map(|(service, r)| Some((service.clone(), r.due(bound, now)?))).collect()
     }
@@ -206,7 +212,7 @@
     }
 
     /// Whether this daemon has found the candidate bad, and why.
-    pub fn halted(&self, service: &str) -> Option<&'static str> {
-        self.by_service.get(service)?.halted
+    pub fn halt_reason(&self, service: &str) -> Option<&'static str> {
+        self.by_service.get(service)?.halt_reason
     }
 }
--- a/src/gateway/rollout/tally.rs
+++ b/src/gateway/rollout/tally.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
     /// All of them.
-    pub tried: u32,
+    pub requests: u32,
     /// Those that failed.
     pub failed: u32,
     /// Times to the answer, of a stream to its first event, of the others.
@@ -26,7 +26,7 @@
 
 impl AddAssign for Tally {
     fn add_assign(&mut self, other: Tally) {
-        self.tried += other.tried;
+        self.requests += other.requests;
         self.failed += other.failed;
         for (count, more) in self.times.iter_mut().zip(other.times) {
             *count += more;
@@ -44,7 +44,7 @@
 impl Tally {
     /// Notes an answer, or with `None` a failure.
     pub fn note(&mut self, time: Option<Duration>) {
-        self.tried += 1;
+        self.requests += 1;
         match time {
             Some(time) => self.times[bucket(time)] += 1,
             None => self.failed += 1,
@@ -63,7 +63,7 @@
             *count = count.saturating_sub(known);
         }
         Tally {
-            tried: self.tried.saturating_sub(earlier.tried),
+            requests: self.requests.saturating_sub(earlier.requests),
             failed: self.failed.saturating_sub(earlier.failed),
             times,
         }
@@ -90,9 +90,9 @@
 impl Recent {
     /// Adds requests.
     pub fn add(&mut self, more: &Tally) {
-        let kept = (1.0 - f64::from(more.tried) / WINDOW).max(0.0);
+        let kept = (1.0 - f64::from(more.requests) / WINDOW).max(0.0);
         let add = |known: &mut f64, more: u32| *known = *known * kept + f64::from(more);
-        add(&mut self.tried, more.tried);
+        add(&mut self.tried, more.requests);
         add(&mut self.failed, more.failed);
         for (known, more) in self.times.iter_mut().zip(more.times) {
             add(known, more);
--- a/src/gateway/rollout/verdict.rs
+++ b/src/gateway/rollout/verdict.rs
@@ -131,7 +131,7 @@
         self.tried = *candidate;
         let sound = self.usual.failing(ASSUMED).max(LEAST_FAILURES);
         let bad = sound + (1.0 - sound) * MORE_FAILURES;
-        ratio(news.failed, news.tried.max(news.failed), sound, bad)
+        ratio(news.failed, news.requests.max(news.failed), sound, bad)
     }
 
     fn take_times(&mut self, candidate: &Tally) -> f64 {
@@ -160,7 +160,7 @@
 impl Test {
     /// Takes in what has come of a route since the last time. Says what is wrong with the candidate, if that is
     /// proved.
-    pub fn weigh(&mut self, route: Tag, baseline: &Tally, candidate: &Tally) -> Option<Fault> {
+    pub fn evaluate(&mut self, route: Tag, baseline: &Tally, candidate: &Tally) -> Option<Fault> {
         let ratios = self.taken.entry(route).or_default().take(baseline, candidate);
         let scores = self.routes.entry(route).or_default();
         scores.add(ratios);
--- a/src/gateway/slot.rs
+++ b/src/gateway/slot.rs
@@ -210,8 +210,8 @@
     pub(super) fn listen(&self, now: Instant) {
         if let Some(heard) = self.peer_source().and_then(|hearing| hearing.peer_stats(now)) {
             self.servers().set_peer_stats(&heard);
-            self.rollouts().set_others(&heard.rollouts, now);
-            self.quarantine().set_others(&heard.evidence, now);
+            self.rollouts().set_peer_reports(&heard.rollouts, now);
+            self.quarantine().set_peer_reports(&heard.evidence, now);
             if !heard.evidence.is_empty() {
                 self.quarantine_changed.notify_one();
             }
@@ -251,7 +251,7 @@
         let terms = AdmissionTerms { admission_class, bound };
         let draw = || match tried {
             [] => Draw::first(&call.route.name, &call.id),
-            _ => Draw::Again,
+            _ => Draw::Retry,
         };
         let pick = self.pick(&service.name, draw, now);
         let among = ServerFilter { excluded: tried, pick: pick.as_ref() };
@@ -286,7 +286,7 @@
     /// Notes how a request went that counts in a roll-out.
     pub(crate) fn record_rollout_sample(&self, trial: RolloutSample, failed: bool) {
         let time = (!failed).then(|| time::since(trial.sent).max(trial.time_floor));
-        self.rollouts().note(trial.stratum, time);
+        self.rollouts().record_outcome(trial.stratum, time);
     }
 
     /// The shortest aim of a service's routes.
@@ -317,7 +317,7 @@
             engine,
         };
         let terms = AdmissionTerms { admission_class: AdmissionClass::Begun, bound: Bound::NONE };
-        let pick = self.pick(&service.name, || Draw::Again, now);
+        let pick = self.pick(&service.name, || Draw::Retry, now);
         let among = ServerFilter { excluded: refused, pick: pick.as_ref() };
         self.choose_slot(service, &need, call, terms, among, now).ok()
     }
--- a/src/gateway/sums.rs
+++ b/src/gateway/sums.rs
@@ -10,7 +10,7 @@
 use crate::gateway::fingerprint::Fingerprint;
 use crate::gateway::heartbeat::{DaemonStats, Origin, Sum};
 use crate::gateway::outcomes::Outcomes;
-use crate::gateway::quarantine::{Evidence, most_ended};
+use crate::gateway::quarantine::{Evidence, top_suspects};
 use crate::gateway::rollout;
 use crate::gateway::servers::Load;
 use crate::gateway::tag::Tag;
@@ -167,7 +167,7 @@
         }
         add(&mut self.rollouts.tallies, &stats.tallies);
         for (order, age) in &stats.rollout_ages {
-            let known = self.rollouts.ages.entry(*order).or_default();
+            let known = self.rollouts.order_ages_ms.entry(*order).or_default();
             *known = (*known).max(*age);
         }
     }
@@ -208,9 +208,9 @@
                 loads: self.loads.into_iter().collect(),
                 spent: self.spent.into_iter().collect(),
                 outcomes: self.outcomes.into_iter().collect(),
-                evidence: most_ended(self.evidence.into_iter().collect()),
+                evidence: top_suspects(self.evidence.into_iter().collect()),
                 tallies: self.rollouts.tallies.into_iter().collect(),
-                rollout_ages: self.rollouts.ages.into_iter().collect(),
+                rollout_ages: self.rollouts.order_ages_ms.into_iter().collect(),
             },
         }
     }
--- a/src/gateway/suspicion.rs
+++ b/src/gateway/suspicion.rs
@@ -5,7 +5,7 @@
 use crate::gateway::fingerprint::Fingerprint;
 use crate::gateway::mirror::Mirror;
 use crate::gateway::port::{self, Schema, Store};
-use crate::gateway::quarantine::{MEMORY, Run};
+use crate::gateway::quarantine::{QUARANTINE_TTL, RunProgress};
 use crate::gateway::request::Call;
 use crate::gateway::slot::Slot;
 use crate::platform::PlatformResult;
@@ -33,20 +33,20 @@
 impl Gateway {
     /// Notes that a server survived a run of a request.
     pub(crate) fn note_survived(&self, call: &Call) {
-        self.quarantine().survived(call.fingerprint(), time::now());
+        self.quarantine().record_survived(call.fingerprint(), time::now());
     }
 
     /// A run that had just begun, or had not, was lost at a server: if that server has ended, the request may
     /// be why. One that was known to leave has ended for that reason. Other daemons hear at once that nothing
     /// listens there, and of what was seen.
-    pub(crate) async fn handle_lost_run(&self, call: &Call, slot: &Slot, run: Run) {
+    pub(crate) async fn handle_lost_run(&self, call: &Call, slot: &Slot, run: RunProgress) {
         if *slot.notice.borrow()
             || !self.wire.is_gone(slot.place.destination.addr, PROBE_TIMEOUT).await
         {
             return;
         }
         let (request, now) = (call.fingerprint(), time::now());
-        let proved = self.quarantine().ended(request, slot.place.tag, run, now);
+        let proved = self.quarantine().record_ended(request, slot.place.tag, run, now);
         self.quarantine_changed.notify_one();
         self.metrics.ended_servers.inc();
         let name = request.to_string();
@@ -116,5 +116,5 @@
 
 /// Writes a record that lapses by itself.
 async fn write(store: &dyn Store, key: &str) -> PlatformResult<()> {
-    port::put_leased(store, key, b"{}".to_vec(), MEMORY).await.map(|_| ())
+    port::put_leased(store, key, b"{}".to_vec(), QUARANTINE_TTL).await.map(|_| ())
 }
--- a/tests/mirror/stand_ins.rs
+++ b/tests/mirror/stand_ins.rs
@@ -114,7 +114,7 @@
 
     fn rollout(&self, _: &str, value: &[u8]) -> Result<Order, Undecodable> {
         let version = String::from_utf8_lossy(value);
-        Ok(Order { version: version.into(), time: Duration::from_secs(10) })
+        Ok(Order { version: version.into(), time_limit: Duration::from_secs(10) })
     }
 
     fn rollout_status(&self, service: &str, _: &str, state: State) -> (String, Vec<u8>) {
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 use tidestair::gateway::fingerprint::Fingerprint;
-use tidestair::gateway::quarantine::{Evidence, MEMORY, Quarantine, Run};
+use tidestair::gateway::quarantine::{Evidence, QUARANTINE_TTL, Quarantine, RunProgress};
 use tidestair::gateway::tag::Tag;
 
 fn request(n: u64) -> Fingerprint {
@@ -43,7 +43,7 @@
             for (request, evidence) in others.flat_map(|(_, told)| told) {
                 sums.entry(*request).or_default().merge(evidence);
             }
-            daemon.set_others(&sums, self.now);
+            daemon.set_peer_reports(&sums, self.now);
         }
     }
 
@@ -58,7 +58,7 @@
     for n in 0..3 {
         assert_eq!(fleet.kept_back(request(1)), 0, "{n} servers are no proof");
         let now = fleet.now;
-        fleet.daemons[n].ended(request(1), server(n as u64), Run::Unseen, now);
+        fleet.daemons[n].record_ended(request(1), server(n as u64), RunProgress::NoEvents, now);
         fleet.tell();
     }
     assert_eq!(fleet.kept_back(request(1)), 5);
@@ -72,9 +72,9 @@
 fn what_was_proved_stays_so_when_daemons_that_saw_it_fall_silent() {
     let mut fleet = Fleet::new(3);
     let now = fleet.now;
-    fleet.daemons[0].ended(request(1), server(1), Run::Unseen, now);
-    fleet.daemons[0].ended(request(1), server(2), Run::Unseen, now);
-    fleet.daemons[1].ended(request(1), server(3), Run::Unseen, now);
+    fleet.daemons[0].record_ended(request(1), server(1), RunProgress::NoEvents, now);
+    fleet.daemons[0].record_ended(request(1), server(2), RunProgress::NoEvents, now);
+    fleet.daemons[1].record_ended(request(1), server(3), RunProgress::NoEvents, now);
     fleet.tell();
     fleet.daemons.remove(0);
     fleet.tell();
@@ -85,7 +85,8 @@
 #[test]
 fn servers_that_end_under_runs_that_have_begun_are_proof_as_well() {
     let (mut quarantine, now) = (Quarantine::default(), Instant::now());
-    let mut proved = (1..=6).map(|n| quarantine.ended(request(1), server(n), Run::Begun, now));
+    let mut proved =
+        (1..=6).map(|n| quarantine.record_ended(request(1), server(n), RunProgress::Begun, now));
     assert_eq!(proved.position(|proved| proved), Some(5));
 }
 
@@ -94,7 +95,12 @@
     let mut fleet = Fleet::new(5);
     let now = fleet.now;
     for n in 0..15 {
-        assert!(!fleet.daemons[n % 5].ended(request(1), server(n as u64 % 2), Run::Unseen, now));
+        assert!(!fleet.daemons[n % 5].record_ended(
+            request(1),
+            server(n as u64 % 2),
+            RunProgress::NoEvents,
+            now
+        ));
         fleet.tell();
     }
     assert_eq!(fleet.kept_back(request(1)), 0);
@@ -105,22 +111,27 @@
     let mut fleet = Fleet::new(2);
     for n in 0..3 {
         let now = fleet.now;
-        fleet.daemons[n as usize % 2].ended(request(1), server(n), Run::Unseen, now);
+        fleet.daemons[n as usize % 2].record_ended(
+            request(1),
+            server(n),
+            RunProgress::NoEvents,
+            now,
+        );
         fleet.tell();
         fleet.now += s(5);
     }
     let left = fleet.daemons[0].quarantined_for(request(1), fleet.now);
-    assert_eq!(left, Some(MEMORY - s(5)));
+    assert_eq!(left, Some(QUARANTINE_TTL - s(5)));
     // Told all the while, as heartbeats are.
-    for _ in 0..MEMORY.as_secs() {
+    for _ in 0..QUARANTINE_TTL.as_secs() {
         fleet.now += s(1);
         fleet.tell();
     }
     assert_eq!(fleet.kept_back(request(1)), 0);
     // What was before is forgotten: two more by chance are no proof.
     let now = fleet.now;
-    assert!(!fleet.daemons[0].ended(request(1), server(7), Run::Unseen, now));
-    assert!(!fleet.daemons[0].ended(request(1), server(8), Run::Unseen, now));
+    assert!(!fleet.daemons[0].record_ended(request(1), server(7), RunProgress::NoEvents, now));
+    assert!(!fleet.daemons[0].record_ended(request(1), server(8), RunProgress::NoEvents, now));
 }
 
 /// The loss of a hall: a frequent request is under way at many servers that end at once, and is served
@@ -133,15 +144,15 @@
         let now = fleet.now;
         // It is sent by way of two of the daemons, and no more in the last half minute.
         if second < 30 {
-            fleet.daemons[0].survived(request(1), now);
-            fleet.daemons[second % 6].survived(request(1), now);
+            fleet.daemons[0].record_survived(request(1), now);
+            fleet.daemons[second % 6].record_survived(request(1), now);
         }
         if second % 10 == 5 && second < 30 {
             for n in 0..18 {
-                fleet.daemons[n % 6].ended(
+                fleet.daemons[n % 6].record_ended(
                     request(1),
                     server((100 * second + n) as u64),
-                    Run::Unseen,
+                    RunProgress::NoEvents,
                     now,
                 );
             }
@@ -157,11 +168,11 @@
     let mut fleet = Fleet::new(3);
     let now = fleet.now;
     for n in 0..3 {
-        fleet.daemons[n].ended(request(1), server(n as u64), Run::Unseen, now);
+        fleet.daemons[n].record_ended(request(1), server(n as u64), RunProgress::NoEvents, now);
     }
     fleet.tell();
     assert_eq!(fleet.kept_back(request(1)), 3);
-    fleet.daemons[2].survived(request(1), now);
+    fleet.daemons[2].record_survived(request(1), now);
     fleet.tell();
     assert_eq!(fleet.kept_back(request(1)), 0);
     let unsaved = |d: &mut Quarantine| d.take_unsaved().iter().any(|r| d.is_unsaved(*r, now));
@@ -173,10 +184,10 @@
 fn a_request_that_turns_deadly_is_caught() {
     let mut fleet = Fleet::new(3);
     let now = fleet.now;
-    fleet.daemons[2].survived(request(1), now);
+    fleet.daemons[2].record_survived(request(1), now);
     for n in 0..20 {
         let now = fleet.now;
-        fleet.daemons[n % 2].ended(request(1), server(n as u64), Run::Unseen, now);
+        fleet.daemons[n % 2].record_ended(request(1), server(n as u64), RunProgress::NoEvents, now);
         fleet.tell();
         if fleet.kept_back(request(1)) == 3 {
             assert!(n <= 5, "{n} servers ended");
@@ -194,27 +205,27 @@
     let (deadly, sound) = (request(1), request(2));
     let mut fleet = Fleet::new(3);
     let seen = [
-        (0, sound, 2, Run::Begun),
-        (1, sound, 2, Run::Begun),
-        (2, sound, 2, Run::Begun),
-        (2, deadly, 2, Run::Unseen),
-        (1, sound, 4, Run::Begun),
-        (2, deadly, 4, Run::Unseen),
-        (2, sound, 4, Run::Unseen),
-        (0, sound, 6, Run::Begun),
-        (0, deadly, 6, Run::Unseen),
-        (1, sound, 6, Run::Begun),
-        (2, sound, 6, Run::Begun),
-        (1, deadly, 7, Run::Unseen),
-        (1, sound, 7, Run::Begun),
-        (2, sound, 7, Run::Begun),
-        (2, sound, 8, Run::Begun),
-        (1, deadly, 8, Run::Unseen),
-        (1, sound, 8, Run::Begun),
+        (0, sound, 2, RunProgress::Begun),
+        (1, sound, 2, RunProgress::Begun),
+        (2, sound, 2, RunProgress::Begun),
+        (2, deadly, 2, RunProgress::NoEvents),
+        (1, sound, 4, RunProgress::Begun),
+        (2, deadly, 4, RunProgress::NoEvents),
+        (2, sound, 4, RunProgress::NoEvents),
+        (0, sound, 6, RunProgress::Begun),
+        (0, deadly, 6, RunProgress::NoEvents),
+        (1, sound, 6, RunProgress::Begun),
+        (2, sound, 6, RunProgress::Begun),
+        (1, deadly, 7, RunProgress::NoEvents),
+        (1, sound, 7, RunProgress::Begun),
+        (2, sound, 7, RunProgress::Begun),
+        (2, sound, 8, RunProgress::Begun),
+        (1, deadly, 8, RunProgress::NoEvents),
+        (1, sound, 8, RunProgress::Begun),
     ];
     for (daemon, request, of, run) in seen {
         let now = fleet.now;
-        fleet.daemons[daemon].ended(request, server(of), run, now);
+        fleet.daemons[daemon].record_ended(request, server(of), run, now);
         fleet.tell();
         assert_eq!(fleet.kept_back(sound), 0, "after server {of}");
     }
@@ -226,12 +237,17 @@
 fn what_has_begun_does_not_count_beside_a_suspected_request_that_had_not() {
     let (mut quarantine, now) = (Quarantine::default(), Instant::now());
     let (deadly, sound) = (request(1), request(2));
-    quarantine.ended(deadly, server(4), Run::Unseen, now);
-    for (of, run) in [(2, Run::Begun), (6, Run::Unseen), (4, Run::Begun), (8, Run::Begun)] {
-        assert!(!quarantine.ended(sound, server(of), run, now));
+    quarantine.record_ended(deadly, server(4), RunProgress::NoEvents, now);
+    for (of, run) in [
+        (2, RunProgress::Begun),
+        (6, RunProgress::NoEvents),
+        (4, RunProgress::Begun),
+        (8, RunProgress::Begun),
+    ] {
+        assert!(!quarantine.record_ended(sound, server(of), run, now));
     }
-    quarantine.ended(deadly, server(8), Run::Unseen, now);
-    assert!(!quarantine.ended(sound, server(7), Run::Begun, now));
+    quarantine.record_ended(deadly, server(8), RunProgress::NoEvents, now);
+    assert!(!quarantine.record_ended(sound, server(7), RunProgress::Begun, now));
 }
 
 /// Daemons that hear of all of it at once must not depend on which request they look at first.
@@ -255,7 +271,7 @@
             let (mut quarantine, now) = (Quarantine::default(), Instant::now());
             // Each map has an order of its own.
             let told: HashMap<Fingerprint, Evidence> = told.clone().into_iter().collect();
-            quarantine.set_others(&told, now);
+            quarantine.set_peer_reports(&told, now);
             assert!(quarantine.quarantined_for(deadly, now).is_some());
             assert!((1..=20).all(|n| quarantine.quarantined_for(request(n), now).is_none()));
         }
@@ -267,11 +283,11 @@
 fn what_ended_beside_a_survivor_does_not_count_once_nobody_speaks_any_more() {
     let mut fleet = Fleet::new(3);
     let now = fleet.now;
-    fleet.daemons[0].survived(request(1), now);
+    fleet.daemons[0].record_survived(request(1), now);
     fleet.now += Duration::from_millis(100);
     for n in 0..3 {
         let now = fleet.now;
-        fleet.daemons[0].ended(request(1), server(n), Run::Unseen, now);
+        fleet.daemons[0].record_ended(request(1), server(n), RunProgress::NoEvents, now);
     }
     for _ in 0..40 {
         fleet.now += Duration::from_millis(250);
@@ -280,16 +296,16 @@
     }
     // One more by chance is no proof either.
     let now = fleet.now;
-    assert!(!fleet.daemons[0].ended(request(1), server(3), Run::Unseen, now));
+    assert!(!fleet.daemons[0].record_ended(request(1), server(3), RunProgress::NoEvents, now));
 }
 
 #[test]
 fn a_record_of_the_store_keeps_a_request_back_until_it_is_gone() {
     let mut fleet = Fleet::new(2);
     let now = fleet.now;
-    fleet.daemons.iter_mut().for_each(|d| d.is_stored(request(1), now));
+    fleet.daemons.iter_mut().for_each(|d| d.mark_stored(request(1), now));
     assert_eq!(fleet.kept_back(request(1)), 2);
-    fleet.daemons.iter_mut().for_each(|d| d.is_released(request(1), now));
+    fleet.daemons.iter_mut().for_each(|d| d.release(request(1), now));
     assert_eq!(fleet.kept_back(request(1)), 0);
 }
 
@@ -300,12 +316,12 @@
     let mut fleet = Fleet::new(3);
     let now = fleet.now;
     for n in 0..3 {
-        fleet.daemons[0].ended(request(1), server(n), Run::Unseen, now);
+        fleet.daemons[0].record_ended(request(1), server(n), RunProgress::NoEvents, now);
     }
     fleet.tell();
     for n in [1, 0, 2] {
         let now = fleet.now;
-        fleet.daemons[n].is_released(request(1), now);
+        fleet.daemons[n].release(request(1), now);
         fleet.tell();
         fleet.now += s(1);
     }
@@ -315,7 +331,12 @@
     assert!(fleet.daemons[1].take_unsaved().is_empty(), "it is not recorded again");
     // Three servers more prove it anew.
     let now = fleet.now;
-    assert!((10..13).any(|n| fleet.daemons[0].ended(request(1), server(n), Run::Unseen, now)));
+    assert!((10..13).any(|n| fleet.daemons[0].record_ended(
+        request(1),
+        server(n),
+        RunProgress::NoEvents,
+        now
+    )));
 }
 
 #[test]
@@ -323,11 +344,11 @@
     let (mut quarantine, mut now) = (Quarantine::default(), Instant::now());
     for n in 0..5_000 {
         now += Duration::from_millis(1);
-        quarantine.survived(request(1_000_000 + n), now);
-        quarantine.ended(request(n), server(n), Run::Unseen, now);
+        quarantine.record_survived(request(1_000_000 + n), now);
+        quarantine.record_ended(request(n), server(n), RunProgress::NoEvents, now);
     }
     // The oldest of those that are remembered is not forgotten by what is added to it.
-    quarantine.ended(request(4_744), server(9_000), Run::Unseen, now);
+    quarantine.record_ended(request(4_744), server(9_000), RunProgress::NoEvents, now);
     let told = quarantine.for_peers(now);
     assert_eq!(told.len(), 32);
     assert_eq!(told[0].1.ended.len(), 2, "those under which most servers ended go first");
@@ -364,12 +385,12 @@
             fleet.now += Duration::from_millis(100);
             let now = fleet.now;
             if what == 0 {
-                fleet.daemons[daemon].survived(request(of), now);
+                fleet.daemons[daemon].record_survived(request(of), now);
                 prop_assert_eq!(fleet.daemons[daemon].quarantined_for(request(of), now), None);
                 ended[of as usize][daemon] = 0;
                 survived[of as usize] = true;
             } else {
-                fleet.daemons[daemon].ended(request(of), server(n as u64), Run::Unseen, now);
+                fleet.daemons[daemon].record_ended(request(of), server(n as u64), RunProgress::NoEvents, now);
                 ended[of as usize][daemon] += 1;
             }
             if tells {
--- a/tests/rollouts.rs
+++ b/tests/rollouts.rs
@@ -15,7 +15,7 @@
 use tidestair::gateway::rollout::tally::Tally;
 use tidestair::gateway::rollout::verdict::{Fault, Test};
 use tidestair::gateway::rollout::{
-    Arm, Census, Draw, Order, Record, Reports, Retired, Rollouts, State, Step,
+    Arm, Draw, Order, Record, Reports, Retired, Rollouts, State, Step, VersionCounts,
 };
 use tidestair::gateway::servers::{Load, ServerKey, ServerRecord, Servers};
 use tidestair::gateway::tag::Tag;
@@ -40,7 +40,7 @@
 }
 
 fn order(version: &str) -> Order {
-    Order { version: version.into(), time: TIME }
+    Order { version: version.into(), time_limit: TIME }
 }
 
 fn keys(count: usize) -> Vec<ServerKey> {
@@ -48,21 +48,21 @@
     (0..count).map(|n| add_server(&mut servers, n, "hall", Load::default())).collect()
 }
 
-fn census(candidates: usize, baseline: usize) -> Census {
-    Census {
+fn census(candidates: usize, baseline: usize) -> VersionCounts {
+    VersionCounts {
         counted: true,
         declared: true,
-        candidate: keys(candidates),
-        candidates,
-        baseline,
-        runs: 0,
+        ready_candidates: keys(candidates),
+        candidate_count: candidates,
+        baseline_count: baseline,
+        baseline_runs: 0,
     }
 }
 
 /// A roll-out in its trial, as a daemon has it that was started at `now`.
 fn in_trial(now: Instant) -> Rollouts {
     let mut rollouts = Rollouts::default();
-    rollouts.order(SERVICE, at(7), Some(order("v2")), now);
+    rollouts.set_order(SERVICE, at(7), Some(order("v2")), now);
     let record = Record {
         order: 7,
         era: 0,
@@ -70,8 +70,8 @@
         state: State::Trial,
         why: "ordered".into(),
     };
-    rollouts.record(SERVICE, at(8), record, now);
-    rollouts.count(SERVICE, census(56, 56));
+    rollouts.set_record(SERVICE, at(8), record, now);
+    rollouts.set_counts(SERVICE, census(56, 56));
     rollouts
 }
 
@@ -87,7 +87,7 @@
     let pick = rollouts.pick(SERVICE, Draw::first(route, &id), SHARE, now).expect("it is live");
     let version = if pick.arm == Arm::Candidate { "v2" } else { "v1" };
     let stratum = rollouts.stratum(SERVICE, route, version).expect("it is live");
-    rollouts.note(stratum, time(pick.arm, rng));
+    rollouts.record_outcome(stratum, time(pick.arm, rng));
     pick.arm == Arm::Candidate
 }
 
@@ -105,7 +105,7 @@
         for (stratum, tally) in told.tallies {
             *heard.tallies.entry(stratum).or_default() += tally;
         }
-        heard.ages.extend(told.ages);
+        heard.order_ages_ms.extend(told.order_ages_ms);
     }
     heard
 }
@@ -113,8 +113,8 @@
 fn share_out(daemons: &mut [Rollouts], now: Instant) {
     for n in 0..daemons.len() {
         let heard = add_up(daemons, n, now);
-        daemons[n].set_others(&heard, now);
-        daemons[n].weigh();
+        daemons[n].set_peer_reports(&heard, now);
+        daemons[n].evaluate();
     }
 }
 
@@ -205,7 +205,7 @@
                     (!fails).then_some(if slow { 4 * time } else { time })
                 };
                 let n = rng.random_range(0..DAEMONS);
-                if daemons.iter().all(|d| d.halted(SERVICE).is_none()) {
+                if daemons.iter().all(|d| d.halt_reason(SERVICE).is_none()) {
                     let before = bad_of(&daemons[n], now);
                     send(&mut daemons[n], route, &mut rng, now, time);
                     bad += bad_of(&daemons[n], now) - before;
@@ -215,7 +215,7 @@
         if tick % 2 == 0 {
             share_out(&mut daemons, now);
         }
-        if daemons.iter().any(|d| d.halted(SERVICE).is_some()) {
+        if daemons.iter().any(|d| d.halt_reason(SERVICE).is_some()) {
             return Outcome { halted: Some(now - start), sound: false, bad };
         }
     }
@@ -284,14 +284,14 @@
             // Half as long again as the old servers' answers.
             candidate.note(Some(usual(600.0, &mut rng)));
         }
-        assert_eq!(test.weigh(route, &baseline, &candidate), None);
+        assert_eq!(test.evaluate(route, &baseline, &candidate), None);
     }
     let found = (0..250).find_map(|n| {
         baseline.note(Some(usual(400.0, &mut rng)));
         if n % 10 == 0 {
             candidate.note(Some(usual(1_600.0, &mut rng)));
         }
-        test.weigh(route, &baseline, &candidate)
+        test.evaluate(route, &baseline, &candidate)
     });
     assert_eq!(found, Some(Fault::Slow));
 }
@@ -301,13 +301,13 @@
     let now = Instant::now();
     let (mut saw, mut heard) = (in_trial(now), in_trial(now));
     let stratum = saw.stratum(SERVICE, "round", "v2").unwrap();
-    (0..20).for_each(|_| saw.note(stratum, None));
-    saw.weigh();
-    assert!(saw.halted(SERVICE).is_some());
+    (0..20).for_each(|_| saw.record_outcome(stratum, None));
+    saw.evaluate();
+    assert!(saw.halt_reason(SERVICE).is_some());
     let mut daemons = [saw, heard];
     share_out(&mut daemons, now + ms(100));
     [_, heard] = daemons;
-    assert!(heard.halted(SERVICE).is_some());
+    assert!(heard.halt_reason(SERVICE).is_some());
     for n in 0..1_000 {
         let draw = Draw::first("round", &n.to_string());
         let pick = heard.pick(SERVICE, draw, SHARE, now + ms(200)).unwrap();
@@ -317,14 +317,14 @@
 }
 
 fn due(rollouts: &Rollouts, now: Instant) -> Option<State> {
-    let due = rollouts.due(SHARE, now);
+    let due = rollouts.due_steps(SHARE, now);
     due.first().map(|(_, step)| step.to)
 }
 
 fn take(rollouts: &mut Rollouts, revision: u64, now: Instant) -> Step {
-    let (_, step) = rollouts.due(SHARE, now).remove(0);
+    let (_, step) = rollouts.due_steps(SHARE, now).remove(0);
     let (_, record) = rollouts.next_record(SERVICE, step).unwrap();
-    rollouts.record(SERVICE, at(revision), record, now);
+    rollouts.set_record(SERVICE, at(revision), record, now);
     step
 }
 
@@ -332,9 +332,9 @@
 fn a_sound_version_comes_into_force_in_time() {
     let start = Instant::now();
     let mut rollouts = Rollouts::default();
-    rollouts.order(SERVICE, at(7), Some(order("v2")), start);
+    rollouts.set_order(SERVICE, at(7), Some(order("v2")), start);
     assert_eq!(take(&mut rollouts, 8, start).to, State::Trial);
-    rollouts.count(SERVICE, census(56, 56));
+    rollouts.set_counts(SERVICE, census(56, 56));
     let mut rng = StdRng::seed_from_u64(1);
     for tick in 0..90 {
         let now = start + ms(tick * 100);
@@ -351,10 +351,10 @@
     let draw = Draw::first("round", "some");
     assert_eq!(rollouts.pick(SERVICE, draw, SHARE, moves).unwrap().arm, Arm::Candidate);
     // Runs of the old servers are waited for, up to the last moment.
-    rollouts.count(SERVICE, Census { runs: 3, ..census(56, 56) });
+    rollouts.set_counts(SERVICE, VersionCounts { baseline_runs: 3, ..census(56, 56) });
     assert_eq!(due(&rollouts, shift + ms(3_000)), None);
     assert_eq!(due(&rollouts, start + ms(13_300)), Some(State::Completed));
-    rollouts.count(SERVICE, census(56, 56));
+    rollouts.set_counts(SERVICE, census(56, 56));
     let end = shift + ms(3_000);
     assert_eq!(take(&mut rollouts, 10, end).to, State::Completed);
     assert_eq!(rollouts.pick(SERVICE, draw, SHARE, end), None);
@@ -368,10 +368,10 @@
     let mut rollouts = in_trial(start);
     let record =
         Record { order: 7, era: 0, version: "v2".into(), state: State::Shift, why: "sound".into() };
-    rollouts.record(SERVICE, at(9), record, start + ms(9_000));
+    rollouts.set_record(SERVICE, at(9), record, start + ms(9_000));
     let stratum = rollouts.stratum(SERVICE, "round", "v2").unwrap();
-    (0..20).for_each(|_| rollouts.note(stratum, None));
-    rollouts.weigh();
+    (0..20).for_each(|_| rollouts.record_outcome(stratum, None));
+    rollouts.evaluate();
     let now = start + ms(9_500);
     assert_eq!(take(&mut rollouts, 10, now).to, State::Reverted);
     assert_eq!(rollouts.retired(SERVICE, now), Some(Retired::Version("v2".into())));
@@ -387,16 +387,16 @@
         ("the version in force", census(56, 0), start + ms(3_000), Some(State::Completed)),
         (
             "an unknown service",
-            Census { declared: false, ..census(0, 0) },
+            VersionCounts { declared: false, ..census(0, 0) },
             start + ms(3_000),
             Some(State::Reverted),
         ),
     ];
     for (case, census, now, wanted) in cases {
         let mut rollouts = Rollouts::default();
-        rollouts.order(SERVICE, at(7), Some(order("v2")), start);
+        rollouts.set_order(SERVICE, at(7), Some(order("v2")), start);
         take(&mut rollouts, 8, start);
-        rollouts.count(SERVICE, census);
+        rollouts.set_counts(SERVICE, census);
         assert_eq!(due(&rollouts, now), wanted, "{case}");
     }
 }
@@ -406,7 +406,7 @@
     let start = Instant::now();
     let mut rollouts = in_trial(start);
     let stratum = rollouts.stratum(SERVICE, "round", "v1").unwrap();
-    (0..600).for_each(|_| rollouts.note(stratum, Some(ms(400))));
+    (0..600).for_each(|_| rollouts.record_outcome(stratum, Some(ms(400))));
     assert_eq!(due(&rollouts, start + ms(9_500)), None, "it may still be tried");
     assert_eq!(due(&rollouts, start + ms(12_000)), Some(State::Reverted));
 }
@@ -429,11 +429,11 @@
         state: State::Reverted,
         why: "bad".into(),
     };
-    rollouts.record(SERVICE, at(9), record, start);
-    rollouts.order(SERVICE, at(12), Some(order("v3")), start + ms(100));
-    rollouts.count(SERVICE, census(56, 112));
+    rollouts.set_record(SERVICE, at(9), record, start);
+    rollouts.set_order(SERVICE, at(12), Some(order("v3")), start + ms(100));
+    rollouts.set_counts(SERVICE, census(56, 112));
     assert_eq!(rollouts.retired(SERVICE, start + ms(100)), None);
-    let (_, step) = rollouts.due(SHARE, start + ms(200)).remove(0);
+    let (_, step) = rollouts.due_steps(SHARE, start + ms(200)).remove(0);
     let (replaced, record) = rollouts.next_record(SERVICE, step).unwrap();
     assert_eq!((replaced, record.order, record.state), (at(9), 12, State::Trial));
     // The earlier order's record, read late, changes nothing.
@@ -444,7 +444,7 @@
         state: State::Completed,
         why: "late".into(),
     };
-    rollouts.record(SERVICE, at(11), late, start + ms(300));
+    rollouts.set_record(SERVICE, at(11), late, start + ms(300));
     assert_eq!(due(&rollouts, start + ms(300)), Some(State::Trial));
 }
 
@@ -454,8 +454,8 @@
     let mut rollouts = in_trial(start);
     let record =
         |state| Record { order: 7, era: 0, version: "v2".into(), state, why: "read".into() };
-    rollouts.record(SERVICE, at(12), record(State::Reverted), start);
-    rollouts.record(SERVICE, at(10), record(State::Shift), start + ms(100));
+    rollouts.set_record(SERVICE, at(12), record(State::Reverted), start);
+    rollouts.set_record(SERVICE, at(10), record(State::Shift), start + ms(100));
     assert_eq!(rollouts.retired(SERVICE, start), Some(Retired::Version("v2".into())));
     assert_eq!(due(&rollouts, start + TIME), None);
 }
@@ -464,7 +464,7 @@
 fn an_order_that_is_withdrawn_is_reverted() {
     let start = Instant::now();
     let mut rollouts = in_trial(start);
-    rollouts.order(SERVICE, at(20), None, start + ms(100));
+    rollouts.set_order(SERVICE, at(20), None, start + ms(100));
     assert_eq!(due(&rollouts, start + ms(200)), Some(State::Reverted));
 }
 
@@ -474,8 +474,8 @@
     let (early, mut late) = (in_trial(start), in_trial(start + ms(8_000)));
     let now = start + ms(8_100);
     let heard = add_up(&[early], 1, now);
-    late.set_others(&heard, now);
-    late.count(SERVICE, census(0, 56));
+    late.set_peer_reports(&heard, now);
+    late.set_counts(SERVICE, census(0, 56));
     assert_eq!(due(&late, start + TIME - ms(500)), Some(State::Reverted));
 }
 
@@ -492,11 +492,11 @@
             rollouts.pick(SERVICE, draw, SHARE, now).filter(|pick| pick.arm == Arm::Candidate)
         });
         let pick = picks.next().expect("some are drawn");
-        let now_used = all.iter().filter(|key| pick.has(**key)).count();
+        let now_used = all.iter().filter(|key| pick.allows(**key)).count();
         // Seven or eight in a hundred requests at five of 56 servers, where the others have one in 56 each.
         assert_eq!(now_used, 5);
         all.iter()
-            .filter(|key| pick.has(**key))
+            .filter(|key| pick.allows(**key))
             .for_each(|key| *used.entry(*key).or_default() += 1);
     }
     assert_eq!(used.len(), 15, "others follow in turn");
@@ -552,17 +552,17 @@
     let (old, new) = ["v1", "v2"].map(|v| rollouts.stratum(SERVICE, "round", v).unwrap()).into();
     let mut rng = StdRng::seed_from_u64(4);
     for _ in 0..500 {
-        rollouts.note(old, Some(usual(400.0, &mut rng)));
-        rollouts.weigh();
+        rollouts.record_outcome(old, Some(usual(400.0, &mut rng)));
+        rollouts.evaluate();
     }
     let record =
         Record { order: 7, era: 0, version: "v2".into(), state: State::Shift, why: "sound".into() };
-    rollouts.record(SERVICE, at(9), record, start + ms(9_000));
+    rollouts.set_record(SERVICE, at(9), record, start + ms(9_000));
     for _ in 0..500 {
-        rollouts.note(new, Some(usual(1_600.0, &mut rng)));
-        rollouts.weigh();
+        rollouts.record_outcome(new, Some(usual(1_600.0, &mut rng)));
+        rollouts.evaluate();
     }
-    assert_eq!(rollouts.halted(SERVICE), None);
+    assert_eq!(rollouts.halt_reason(SERVICE), None);
 }
 
 /// A record of the order at revision 7.
@@ -575,19 +575,19 @@
 fn a_verdict_that_the_store_loses_stands_and_is_written_again() {
     let start = Instant::now();
     let mut rollouts = in_trial(start);
-    rollouts.record(SERVICE, at(9), record(State::Reverted), start);
+    rollouts.set_record(SERVICE, at(9), record(State::Reverted), start);
     let reverted = rollouts.retired(SERVICE, start);
-    assert!(reverted.is_some() && !rollouts.is_live(start));
+    assert!(reverted.is_some() && !rollouts.is_active(start));
     // The copy has the record of the trial's beginning.
     let older = Position::new(1, 8);
-    rollouts.lose_record(SERVICE, record(State::Reverted), older, start);
-    assert!(rollouts.is_live(start), "something is to be done");
+    rollouts.set_lost_record(SERVICE, record(State::Reverted), older, start);
+    assert!(rollouts.is_active(start), "something is to be done");
     assert_eq!(rollouts.retired(SERVICE, start), reverted);
     assert_eq!(due(&rollouts, start), None, "not weighed anew");
     let (service, replaced, written) = rollouts.lost_records().remove(0);
     assert_eq!((&*service, replaced, written.state), (SERVICE, older, State::Reverted));
-    assert!(!rollouts.record(SERVICE, Position::new(1, 12), written, start), "no news");
-    assert!(rollouts.lost_records().is_empty() && !rollouts.is_live(start));
+    assert!(!rollouts.set_record(SERVICE, Position::new(1, 12), written, start), "no news");
+    assert!(rollouts.lost_records().is_empty() && !rollouts.is_active(start));
 }
 
 /// Guards against a trial that begins again since the operators wrote their order again.
@@ -595,11 +595,11 @@
 fn an_order_that_is_written_again_is_no_new_one() {
     let start = Instant::now();
     let mut rollouts = in_trial(start);
-    rollouts.record(SERVICE, at(9), record(State::Reverted), start);
-    rollouts.order(SERVICE, Position::new(1, 10), Some(order("v2")), start + ms(500));
+    rollouts.set_record(SERVICE, at(9), record(State::Reverted), start);
+    rollouts.set_order(SERVICE, Position::new(1, 10), Some(order("v2")), start + ms(500));
     assert_eq!(due(&rollouts, start + ms(1_000)), None);
     assert!(rollouts.retired(SERVICE, start + ms(1_000)).is_some());
-    rollouts.order(SERVICE, Position::new(1, 20), Some(order("v3")), start + ms(1_500));
+    rollouts.set_order(SERVICE, Position::new(1, 20), Some(order("v3")), start + ms(1_500));
     assert_eq!(due(&rollouts, start + ms(1_600)), Some(State::Trial), "another version is");
 }
 
@@ -608,9 +608,9 @@
 fn a_record_of_an_earlier_era_binds_the_order_that_is_written_again() {
     let start = Instant::now();
     let mut rollouts = Rollouts::default();
-    rollouts.record(SERVICE, Position::new(1, 6), record(State::Reverted), start);
-    rollouts.order(SERVICE, Position::new(1, 10), Some(order("v2")), start);
-    rollouts.count(SERVICE, census(56, 112));
+    rollouts.set_record(SERVICE, Position::new(1, 6), record(State::Reverted), start);
+    rollouts.set_order(SERVICE, Position::new(1, 10), Some(order("v2")), start);
+    rollouts.set_counts(SERVICE, census(56, 112));
     assert_eq!(due(&rollouts, start), None);
     assert!(rollouts.retired(SERVICE, start).is_some());
 }
@@ -620,7 +620,7 @@
 fn a_version_that_was_reverted_is_not_brought_back_by_a_record() {
     let start = Instant::now();
     let mut rollouts = in_trial(start);
-    rollouts.record(SERVICE, at(9), record(State::Reverted), start);
-    rollouts.record(SERVICE, Position::new(1, 9), record(State::Shift), start);
+    rollouts.set_record(SERVICE, at(9), record(State::Reverted), start);
+    rollouts.set_record(SERVICE, Position::new(1, 9), record(State::Shift), start);
     assert!(matches!(rollouts.retired(SERVICE, start), Some(Retired::Version(_))));
 }
