--- a/src/gateway/announce.rs
+++ b/src/gateway/announce.rs
@@ -15,24 +15,24 @@
 
 /// Time after which the key of a daemon that died is gone. Others notice its silence much sooner;
 /// the key is for first contact and for the division into cells, where a silent daemon is passed over.
-const LEASE: Duration = Duration::from_secs(30);
+const LEASE_TTL: Duration = Duration::from_secs(30);
 /// Time between two renewals: two may fail and the next still comes in time. A fleet's renewals are
 /// calls to the store that grow with it.
-const RENEWAL: Duration = Duration::from_secs(9);
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(9);
 /// Pause after a first call that failed; it doubles with each further one, since every call is priced.
-const AFTER_FAILURE: Duration = Duration::from_millis(500);
+const INITIAL_RETRY_PAUSE: Duration = Duration::from_millis(500);
 /// Longest such pause, and the pause where an earlier lease still runs.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+const MAX_RETRY_PAUSE: Duration = Duration::from_secs(4);
 /// Time between two looks at whether the store is back.
-const LOOK: Duration = Duration::from_millis(200);
+const OUTAGE_POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// Time between two looks at whether the store was read for the first time.
-const FIRST_LOOK: Duration = Duration::from_millis(10);
+const FIRST_READ_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Longest time for the first read of the store, which tells whether the key still stands.
-const FIRST_READ: Duration = Duration::from_secs(1);
+const FIRST_READ_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest pause before a key that the store has lost is written again: a fleet's daemons find that out together.
-const LOST: Duration = Duration::from_secs(2);
+const MAX_REWRITE_PAUSE: Duration = Duration::from_secs(2);
 /// Part of a pause that is drawn at random, so that daemons which started together don't call together.
-const DRAWN_FRACTION: f64 = 0.3;
+const JITTER_FRACTION: f64 = 0.3;
 
 /// Keeps the key while the daemon serves, then takes it away.
 pub async fn run(
@@ -47,37 +47,37 @@
     let key = format!("{}{}/{}", schema.daemons(), own.hall, own.vm);
     let value = serde_json::to_vec(own).expect("a daemon's record is JSON");
     let mut lease = None;
-    let mut after_failure = AFTER_FAILURE;
+    let mut after_failure = INITIAL_RETRY_PAUSE;
     let mut pause = first_pause(&roster, &mirror).await;
     loop {
         let step = async {
             time::sleep(pause).await;
             while mirror.store_is_away() {
-                sleep(LOOK).await;
+                sleep(OUTAGE_POLL_INTERVAL).await;
             }
-            keep(&*store, &key, &value, lease).await
+            renew_or_create(&*store, &key, &value, lease).await
         };
-        let kept = tokio::select! {
-            kept = step => kept,
+        let result = tokio::select! {
+            result = step => result,
             Ok(()) = eras.changed() => {
                 // Its id may be another daemon's by now.
                 lease = None;
-                pause = if mirror.lists(&key) { drawn(RENEWAL) } else { spread(LOST) };
+                pause = if mirror.lists(&key) { with_jitter(RENEWAL_INTERVAL) } else { random_pause(MAX_REWRITE_PAUSE) };
                 continue;
             }
             _ = phase.wait_for(|phase| *phase >= Phase::Leaving) => break,
         };
-        pause = match kept {
+        pause = match result {
             Ok(id) => {
                 lease = Some(id);
-                after_failure = AFTER_FAILURE;
-                drawn(RENEWAL)
+                after_failure = INITIAL_RETRY_PAUSE;
+                with_jitter(RENEWAL_INTERVAL)
             }
             Err(e) => {
                 warn!(why = e.to_string().as_str(); "own key not kept in the store");
-                let pause = if lease.is_some() { LONGEST_PAUSE } else { after_failure };
-                after_failure = (after_failure * 2).min(LONGEST_PAUSE);
-                drawn(pause)
+                let pause = if lease.is_some() { MAX_RETRY_PAUSE } else { after_failure };
+                after_failure = (after_failure * 2).min(MAX_RETRY_PAUSE);
+                with_jitter(pause)
             }
         };
     }
@@ -93,24 +93,24 @@
 /// still stands. It is then due when that start would have renewed its lease.
 async fn first_pause(roster: &Roster, mirror: &Mirror) -> Duration {
     let began = time::now();
-    while mirror.position().is_start() && time::since(began) < FIRST_READ {
-        sleep(FIRST_LOOK).await;
+    while mirror.position().is_start() && time::since(began) < FIRST_READ_TIMEOUT {
+        sleep(FIRST_READ_POLL_INTERVAL).await;
     }
-    if roster.lists_own() { drawn(RENEWAL) } else { Duration::ZERO }
+    if roster.lists_own() { with_jitter(RENEWAL_INTERVAL) } else { Duration::ZERO }
 }
 
 /// A pause of up to `most`.
-fn spread(most: Duration) -> Duration {
-    rand::rng().random_range(Duration::ZERO..most)
+fn random_pause(max: Duration) -> Duration {
+    rand::rng().random_range(Duration::ZERO..max)
 }
 
 /// A pause with a part of it drawn at random.
-fn drawn(pause: Duration) -> Duration {
-    pause.mul_f64(rand::rng().random_range(1.0 - DRAWN_FRACTION..=1.0))
+fn with_jitter(pause: Duration) -> Duration {
+    pause.mul_f64(rand::rng().random_range(1.0 - JITTER_FRACTION..=1.0))
 }
 
 /// Renews the lease, or opens one and writes the key under it.
-async fn keep(
+async fn renew_or_create(
     store: &dyn Store,
     key: &str,
     value: &[u8],
@@ -121,5 +121,5 @@
     {
         return Ok(lease);
     }
-    port::put_leased(store, key, value.to_vec(), LEASE).await
+    port::put_leased(store, key, value.to_vec(), LEASE_TTL).await
 }
--- a/src/gateway/in_force.rs
+++ b/src/gateway/in_force.rs
@@ -57,21 +57,21 @@
 
     /// Takes a version that was the newest at `seen`; an older one than that in force changes nothing.
     /// Says whether it came into force.
-    pub fn take(&self, declared: Declared, seen: Instant) -> bool {
+    pub fn take(&self, declared: Declared, as_of: Instant) -> bool {
         let mut confirmed = self.confirmed.lock().expect("no holder panics");
         let newer = self.get().is_none_or(|known| declared.is_newer(&known));
         if newer {
-            *confirmed = Some(seen);
+            *confirmed = Some(as_of);
             self.declared.store(Some(Arc::new(declared)));
         }
         newer
     }
 
     /// Notes that the version written there was the newest at `seen`; it counts only for the version in force.
-    pub fn confirm(&self, position: Position, seen: Instant) {
+    pub fn confirm(&self, position: Position, as_of: Instant) {
         let mut confirmed = self.confirmed.lock().expect("no holder panics");
         if position == self.position() && !position.is_start() {
-            *confirmed = Some(confirmed.map_or(seen, |at| at.max(seen)));
+            *confirmed = Some(confirmed.map_or(as_of, |at| at.max(as_of)));
         }
     }
 
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -13,7 +13,7 @@
 //! entries and the closed halls have a position of their own, which may be beyond it: they are read apart
 //! from a large answer that is still on its way.
 
-mod enforce;
+mod activate;
 mod retained;
 mod state;
 
@@ -31,13 +31,13 @@
 use std::time::{Duration, Instant};
 
 /// Time without confirmation after which it is logged that the copy is current again.
-const LATE: Duration = Duration::from_millis(1_500);
+const LATE_CONFIRMATION: Duration = Duration::from_millis(1_500);
 /// Bytes up to which a value is small: servers' and daemons' entries have some hundred, a configuration
 /// of a few routes some thousand.
-const SMALL: usize = 4 << 10;
+const SMALL_VALUE_BYTES: usize = 4 << 10;
 /// Time without confirmation after which a copy that is older than a peer's asks that peer for
 /// everything. Longer than two heartbeats: usually the daemon that reads for all tells sooner.
-const UNTOLD: Duration = Duration::from_millis(600);
+const FULL_FETCH_AFTER: Duration = Duration::from_millis(600);
 
 /// See the module.
 pub struct Mirror {
@@ -69,18 +69,18 @@
             servers,
             // Beyond that revision some may be missing.
             servers_changed: state.server_change.min(servers),
-            since: state.forgotten,
+            since: state.deletions_known_after,
             age_ms,
             retained: state.retained_checksum(),
         })
     }
 
     /// Takes in all keys, read at `position`, as the store stood at `seen`.
-    pub fn replace(&self, entries: Vec<Entry>, position: Position, seen: Instant, now: Instant) {
+    pub fn replace(&self, entries: Vec<Entry>, position: Position, as_of: Instant, now: Instant) {
         let incoming = entries.into_iter().map(IncomingChange::from).collect();
-        let crosses = self.enter_era(&mut self.state(), position, position, now);
-        self.replace_all(incoming, position, crosses, seen, now);
-        if crosses {
+        let is_new_era = self.enter_era(&mut self.state(), position, position, now);
+        self.replace_all(incoming, position, is_new_era, as_of, now);
+        if is_new_era {
             self.state().log_era("store");
         }
     }
@@ -90,8 +90,8 @@
         &self,
         incoming: Vec<IncomingChange>,
         position: Position,
-        crosses: bool,
-        seen: Instant,
+        is_new_era: bool,
+        as_of: Instant,
         now: Instant,
     ) {
         let mut state = self.state();
@@ -111,65 +111,70 @@
         let gone: Vec<String> =
             state.keys.iter().filter(is_gone).map(|(key, _)| key.to_string()).collect();
         // Keys that were written and deleted since this copy's last position were never seen.
-        state.forgotten = position;
+        state.deletions_known_after = position;
         let before = state.position;
-        self.confirm(&mut state, position, seen, now);
+        self.confirm(&mut state, position, as_of, now);
         for key in gone {
             let change = Change { key, value: None, revision: position };
-            self.take(&mut state, change.into(), seen, now);
+            self.apply_change(&mut state, change.into(), as_of, now);
         }
         for incoming in incoming {
             // What was written since may have gone in between, however it looks: peers that saw it go must be
             // told that it is back. Those that saw more of the era before than this copy are given everything.
-            let mattered = (!crosses && incoming.revision > before).then_some(incoming.revision);
-            self.take(&mut state, IncomingChange { mattered, ..incoming }, seen, now);
+            let mattered = (!is_new_era && incoming.revision > before).then_some(incoming.revision);
+            self.apply_change(&mut state, IncomingChange { mattered, ..incoming }, as_of, now);
         }
         state.server_changes.log();
     }
 
     /// Takes in all changes up to `position`, as the store stood at `seen`.
-    pub fn advance(&self, changes: Vec<Change>, position: Position, seen: Instant, now: Instant) {
-        self.take_all(changes.into_iter().map(IncomingChange::from).collect(), position, seen, now);
+    pub fn advance(&self, changes: Vec<Change>, position: Position, as_of: Instant, now: Instant) {
+        self.apply_all(
+            changes.into_iter().map(IncomingChange::from).collect(),
+            position,
+            as_of,
+            now,
+        );
     }
 
-    fn take_all(
+    fn apply_all(
         &self,
         incoming: Vec<IncomingChange>,
         position: Position,
-        seen: Instant,
+        as_of: Instant,
         now: Instant,
     ) {
         let mut state = self.state();
-        self.confirm(&mut state, position, seen, now);
+        self.confirm(&mut state, position, as_of, now);
         for incoming in incoming {
-            self.take(&mut state, incoming, seen, now);
+            self.apply_change(&mut state, incoming, as_of, now);
         }
         state.server_changes.log();
     }
 
     /// Hears a peer's statement that was true at `seen` or later. Says what this copy lacks.
-    pub fn hear(&self, copy_status: CopyStatus, seen: Instant, now: Instant) -> Lack {
+    pub fn hear(&self, copy_status: CopyStatus, as_of: Instant, now: Instant) -> Lack {
         let mut state = self.state();
         if copy_status.position.era != state.position.era {
             return state.lack(&copy_status);
         }
         if state.position < copy_status.since {
             // The peer can't tell what was deleted between the two; another one may.
-            let untold = state.confirmed.is_none() || state.age(now) > UNTOLD;
-            return if untold { Lack::Changes } else { Lack::Nothing };
+            let is_unconfirmed = state.confirmed.is_none() || state.age(now) > FULL_FETCH_AFTER;
+            return if is_unconfirmed { Lack::Changes } else { Lack::Nothing };
         }
         let lack = state.lack(&copy_status);
         if lack == Lack::Nothing {
             // What stands at the peer may be newer than what is in force here.
             let known = [0, state.retained_checksum()];
             if !known.contains(&copy_status.retained)
-                && !state.asked.contains(&copy_status.retained)
+                && !state.fetched_retained.contains(&copy_status.retained)
             {
                 return Lack::Changes;
             }
             state.servers = state.servers.max(copy_status.servers);
             if copy_status.position >= state.position {
-                self.confirm(&mut state, copy_status.position, seen, now);
+                self.confirm(&mut state, copy_status.position, as_of, now);
             }
         }
         lack
@@ -182,17 +187,17 @@
 
     /// Notes at `now` that the store answered some daemon at `at`.
     pub fn store_answered(&self, at: Instant, now: Instant) {
-        self.state().outages.answered(at, now);
+        self.state().outages.note_answer(at, now);
     }
 
     /// Notes that some daemon asked the store in vain at `at`.
     pub fn store_failed(&self, at: Instant) {
-        self.state().outages.failed(at);
+        self.state().outages.note_failure(at);
     }
 
     /// Whether the store answers no daemon at present, as far as known.
     pub fn store_is_away(&self) -> bool {
-        self.state().outages.is_away()
+        self.state().outages.is_unreachable()
     }
 
     /// When some daemon last asked the store in vain, as far as known.
@@ -202,7 +207,7 @@
 
     /// What a copy at `after` lacks, large values left out.
     pub fn update_after(&self, after: Position, now: Instant) -> Option<Update> {
-        self.update(after, SMALL, now)
+        self.update(after, SMALL_VALUE_BYTES, now)
     }
 
     /// All that a copy at `after` lacks.
@@ -211,12 +216,13 @@
     }
 
     /// What a copy at `after` lacks, of values with up to `most` bytes.
-    fn update(&self, after: Position, most: usize, now: Instant) -> Option<Update> {
+    fn update(&self, after: Position, max_bytes: usize, now: Instant) -> Option<Update> {
         let copy_status = self.copy_status(now)?;
         let state = self.state();
-        let whole = !state.spans(after);
+        let whole = !state.can_update_from(after);
         // Told apart before any value is copied: a large one may have a megabyte.
-        let is_given = |(_, key_state): &(&Arc<str>, &KeyState)| key_state.content.bytes() <= most;
+        let is_given =
+            |(_, key_state): &(&Arc<str>, &KeyState)| key_state.content.bytes() <= max_bytes;
         let (given, left): (Vec<_>, Vec<_>) = match whole {
             true => state.keys.iter().partition(is_given),
             false => state.changed_after(after).partition(is_given),
@@ -228,20 +234,20 @@
             content: key_state.content.clone(),
         };
         let cells = given.into_iter().map(cell).collect();
-        let (retained, all_retained) = state.retained_for_peer(most, now);
+        let (retained, all_retained) = state.retained_for_peer(max_bytes, now);
         let (base, complete) = (state.base, left.is_empty() && all_retained);
         Some(Update { copy_status, full: whole, complete, base, cells, retained })
     }
 
     /// Takes in what a peer gave, true at `seen` or later.
-    pub fn apply(&self, update: Update, seen: Instant, now: Instant) {
+    pub fn apply(&self, update: Update, as_of: Instant, now: Instant) {
         let position = update.copy_status.position;
-        let crosses = {
+        let is_new_era = {
             let mut state = self.state();
             if position.era < state.position.era {
                 return;
             }
-            state.asked.insert(update.copy_status.retained);
+            state.fetched_retained.insert(update.copy_status.retained);
             self.enter_era(&mut state, position, update.base, now)
         };
         match update.full && update.complete {
@@ -250,40 +256,40 @@
                 self.replace_all(
                     live.map(IncomingChange::from).collect(),
                     position,
-                    crosses,
-                    seen,
+                    is_new_era,
+                    as_of,
                     now,
                 );
                 self.adopt(&mut self.state(), update.retained, now);
             }
-            false => self.apply_changes(update, crosses, seen, now),
+            false => self.apply_changes(update, is_new_era, as_of, now),
         }
-        if crosses {
+        if is_new_era {
             self.state().log_era("peer");
         }
     }
 
     /// Takes in some keys that a peer gave.
-    fn apply_changes(&self, update: Update, crosses: bool, seen: Instant, now: Instant) {
+    fn apply_changes(&self, update: Update, is_new_era: bool, as_of: Instant, now: Instant) {
         let CopyStatus { position, servers, since, .. } = update.copy_status;
-        if crosses && !update.full {
-            self.state().forgotten = since;
+        if is_new_era && !update.full {
+            self.state().deletions_known_after = since;
         }
         let mut incoming: Vec<IncomingChange> =
             update.cells.into_iter().map(IncomingChange::from).collect();
         incoming.sort_by_key(|incoming| incoming.revision);
-        let is_crossed = self.state().position.era < position.era;
+        let is_behind_era = self.state().position.era < position.era;
         match update.complete {
-            true => self.take_all(incoming, position, seen, now),
-            false => self.take_ahead(incoming, seen, now),
+            true => self.apply_all(incoming, position, as_of, now),
+            false => self.apply_ahead(incoming, as_of, now),
         }
         let mut state = self.state();
-        if is_crossed && update.complete {
-            state.restate(since);
+        if is_behind_era && update.complete {
+            state.restamp_keys(since);
         }
         self.adopt(&mut state, update.retained, now);
         if !update.full {
-            state.small = state.small.max(position);
+            state.small_ahead = state.small_ahead.max(position);
             state.servers = state.servers.max(servers);
         }
     }
@@ -294,10 +300,10 @@
         &self,
         changes: Vec<Change>,
         position: Position,
-        seen: Instant,
+        as_of: Instant,
         now: Instant,
     ) {
-        self.take_ahead(changes.into_iter().map(IncomingChange::from).collect(), seen, now);
+        self.apply_ahead(changes.into_iter().map(IncomingChange::from).collect(), as_of, now);
         let mut state = self.state();
         state.servers = state.servers.max(position);
     }
@@ -312,17 +318,17 @@
         [self.schema.servers(), self.schema.closed_halls(), self.schema.rollouts()]
     }
 
-    fn take_ahead(&self, incoming: Vec<IncomingChange>, seen: Instant, now: Instant) {
+    fn apply_ahead(&self, incoming: Vec<IncomingChange>, as_of: Instant, now: Instant) {
         let mut state = self.state();
         for incoming in incoming {
-            self.take(&mut state, incoming, seen, now);
+            self.apply_change(&mut state, incoming, as_of, now);
         }
         state.server_changes.log();
     }
 
     /// Takes in some keys before all have been read.
-    pub fn take_early(&self, entries: Vec<Entry>, seen: Instant, now: Instant) {
-        self.take_ahead(entries.into_iter().map(IncomingChange::from).collect(), seen, now);
+    pub fn apply_early(&self, entries: Vec<Entry>, as_of: Instant, now: Instant) {
+        self.apply_ahead(entries.into_iter().map(IncomingChange::from).collect(), as_of, now);
     }
 
     /// Whether the store holds a key, as far as known.
@@ -339,15 +345,11 @@
     pub fn tick(&self, now: Instant) {
         let mut state = self.state();
         self.expire_retained(&mut state, now);
-        let due: Vec<String> = state
-            .missing
-            .iter()
-            .filter(|(_, at)| now >= **at)
-            .map(|(key, _)| key.clone())
-            .collect();
+        let due: Vec<String> =
+            state.lapsed.iter().filter(|(_, at)| now >= **at).map(|(key, _)| key.clone()).collect();
         for key in due {
-            state.missing.remove(&key);
-            self.drop_server(&mut state, &key);
+            state.lapsed.remove(&key);
+            self.remove_server(&mut state, &key);
         }
         state.server_changes.log();
     }
@@ -364,31 +366,37 @@
         base: Position,
         now: Instant,
     ) -> bool {
-        let crosses = state.enter_era(position, base, now);
-        if crosses {
+        let is_new_era = state.enter_era(position, base, now);
+        if is_new_era {
             self.gateway.set_era(position.era);
         }
-        crosses
+        is_new_era
     }
 
-    fn confirm(&self, state: &mut State, position: Position, seen: Instant, now: Instant) {
+    fn confirm(&self, state: &mut State, position: Position, as_of: Instant, now: Instant) {
         self.gateway.metrics.store_era.set(state.position.era.max(position.era) as i64);
         state.position = state.position.max(position);
         let late = state.age(now);
-        state.confirmed = state.confirmed.max(Some(seen));
-        if state.age(now) <= LATE {
-            let unheard = state.outages.take_unheard();
-            if late > LATE {
+        state.confirmed = state.confirmed.max(Some(as_of));
+        if state.age(now) <= LATE_CONFIRMATION {
+            let unheard = state.outages.take_longest_gap();
+            if late > LATE_CONFIRMATION {
                 let (late, unheard) = (millis(late), millis(unheard));
                 info!(late_ms = late, unheard_ms = unheard; "copy of the store is current again");
             }
         }
-        self.gateway.in_force.confirm(self.gateway.in_force.position(), seen);
+        self.gateway.in_force.confirm(self.gateway.in_force.position(), as_of);
     }
 
-    fn take(&self, state: &mut State, incoming: IncomingChange, seen: Instant, now: Instant) {
+    fn apply_change(
+        &self,
+        state: &mut State,
+        incoming: IncomingChange,
+        as_of: Instant,
+        now: Instant,
+    ) {
         let IncomingChange { key, revision, content, mattered } = incoming;
-        if !self.is_wanted(&key) {
+        if !self.is_mirrored(&key) {
             return;
         }
         let known = state.keys.get(&*key);
@@ -415,7 +423,7 @@
         let is_record = key.starts_with(self.schema.rollout_records());
         let is_new = is_new || (is_of_later_era && is_record);
         let kept = state.retained.get(&*key);
-        let lost = self.lost(state, &key, known, revision, &content, now);
+        let lost = self.lost_value(state, &key, known, revision, &content, now);
         let last = known.map_or(Position::START, |key_state| key_state.mattered);
         let mattered = match mattered {
             // Told by a copy that came through a loss, with the change's place of before.
@@ -425,7 +433,7 @@
             None => last,
         };
         let matters = is_new || mattered > last;
-        state.hold(&key, KeyState { revision, mattered, content: content.clone() });
+        state.set_key(&key, KeyState { revision, mattered, content: content.clone() });
         let stays = lost.is_some();
         match lost {
             Some(kept) => self.retain(state, &key, kept, now),
@@ -434,23 +442,23 @@
         if !matters {
             return;
         }
-        state.differing += 1;
+        state.changed_in_era += 1;
         if self.is_urgent(&key) {
             state.server_change = state.server_change.max(mattered);
         }
         match mattered > state.position {
-            true => state.ahead = state.ahead.max(mattered),
+            true => state.last_change_ahead = state.last_change_ahead.max(mattered),
             false => state.changed = state.changed.max(mattered),
         }
         if !stays {
-            self.enforce(state, &key, revision, &content, seen, now);
+            self.activate(state, &key, revision, &content, as_of, now);
         }
         state.forget_deleted();
         self.gateway.signal_copy_change();
     }
 
     /// What stands in place of a change that the store has, if it has lost a later one.
-    fn lost(
+    fn lost_value(
         &self,
         state: &State,
         key: &str,
@@ -476,7 +484,7 @@
         is_lost.then(|| Retention { content: stands.clone(), position, over: revision, until })
     }
 
-    fn is_wanted(&self, key: &str) -> bool {
+    fn is_mirrored(&self, key: &str) -> bool {
         let schema = &self.schema;
         let prefixes =
             [schema.servers(), schema.daemons(), schema.closed_halls(), schema.quarantine()];
--- a/src/gateway/mirror/enforce.rs
+++ b/src/gateway/mirror/activate.rs
@@ -1,7 +1,7 @@
 //! What becomes of a value of the store that is newer than the one before it.
 
 use super::Mirror;
-use super::state::{COME_BACK, State};
+use super::state::{LAPSED_GRACE, State};
 use crate::gateway::fingerprint::Fingerprint;
 use crate::gateway::in_force::Declared;
 use crate::gateway::servers::ServerRecord;
@@ -14,23 +14,23 @@
 
 impl Mirror {
     /// Puts into force what a key holds.
-    pub(super) fn enforce(
+    pub(super) fn activate(
         &self,
         state: &mut State,
         key: &str,
         revision: Position,
         content: &Content,
-        seen: Instant,
+        as_of: Instant,
         now: Instant,
     ) {
         let is_server = key.starts_with(self.schema.servers());
         match content {
-            Content::Server(record) => self.take_server(state, key, record.clone(), now),
-            Content::Deleted if is_server => self.server_gone(state, key, now),
+            Content::Server(record) => self.update_server(state, key, record.clone(), now),
+            Content::Deleted if is_server => self.on_server_deleted(state, key, now),
             Content::Value(value) if is_server => self.hide_server(state, key, value),
-            Content::Deleted => self.put_in_force(key, revision, None, seen, now),
+            Content::Deleted => self.put_in_force(key, revision, None, as_of, now),
             Content::Value(value) => {
-                self.put_in_force(key, revision, Some(value.clone()), seen, now);
+                self.put_in_force(key, revision, Some(value.clone()), as_of, now);
             }
         }
     }
@@ -41,27 +41,33 @@
         key: &str,
         revision: Position,
         value: Option<Bytes>,
-        seen: Instant,
+        as_of: Instant,
         now: Instant,
     ) {
         if key == self.schema.declaration() {
             if let Some(value) = value {
-                self.take_declaration(revision, &value, seen);
+                self.update_declaration(revision, &value, as_of);
             }
         } else if key.starts_with(self.schema.daemons()) {
-            self.take_daemon(key, value.as_deref());
+            self.update_daemon(key, value.as_deref());
         } else if let Some(hall) = key.strip_prefix(self.schema.closed_halls()) {
-            self.take_hall(hall, value.is_some(), now);
+            self.update_hall(hall, value.is_some(), now);
         } else if let Some(request) = key.strip_prefix(self.schema.quarantine()) {
-            self.take_quarantine(request, value.is_some(), now);
+            self.update_quarantine(request, value.is_some(), now);
         } else if let Some(service) = key.strip_prefix(self.schema.rollouts()) {
-            self.take_rollout(service, revision, value.as_deref(), now);
+            self.update_rollout(service, revision, value.as_deref(), now);
         } else if let Some(service) = key.strip_prefix(self.schema.rollout_records()) {
-            self.take_rollout_record(service, revision, value.as_deref(), now);
+            self.update_rollout_record(service, revision, value.as_deref(), now);
         }
     }
 
-    fn take_rollout(&self, service: &str, revision: Position, value: Option<&[u8]>, now: Instant) {
+    fn update_rollout(
+        &self,
+        service: &str,
+        revision: Position,
+        value: Option<&[u8]>,
+        now: Instant,
+    ) {
         match value.map(|value| self.schema.rollout(service, value)).transpose() {
             Ok(order) => self.gateway.take_order(service, revision, order, now),
             Err(e) => {
@@ -70,7 +76,7 @@
         }
     }
 
-    fn take_rollout_record(
+    fn update_rollout_record(
         &self,
         service: &str,
         revision: Position,
@@ -86,12 +92,12 @@
         }
     }
 
-    fn take_declaration(&self, position: Position, value: &[u8], seen: Instant) {
+    fn update_declaration(&self, position: Position, value: &[u8], as_of: Instant) {
         let revision = position.revision;
         match self.schema.table(value) {
             Ok(table) => {
                 let (version, table) = (table.version, Arc::new(table));
-                if self.gateway.in_force.take(Declared { position, table }, seen) {
+                if self.gateway.in_force.take(Declared { position, table }, as_of) {
                     self.gateway.metrics.config_revision.set(revision as i64);
                     info!(version = version, revision = revision; "configuration in force");
                 }
@@ -100,8 +106,8 @@
         }
     }
 
-    fn take_server(&self, state: &mut State, key: &str, record: ServerRecord, now: Instant) {
-        state.missing.remove(key);
+    fn update_server(&self, state: &mut State, key: &str, record: ServerRecord, now: Instant) {
+        state.lapsed.remove(key);
         match record.leaving {
             true => state.server_changes.leaving.push(record.id.to_string()),
             false => state.server_changes.came += 1,
@@ -111,23 +117,23 @@
 
     /// A server's entry can't be read.
     fn hide_server(&self, state: &mut State, key: &str, value: &[u8]) {
-        state.missing.remove(key);
+        state.lapsed.remove(key);
         let why = self.schema.server(key, value).err().map_or_else(String::new, |e| e.0);
         warn!(key = key, why = why.as_str(); "backend server's entry not readable: it names no server to use");
         self.gateway.servers().mark_unreadable(self.id(key));
     }
 
-    fn server_gone(&self, state: &mut State, key: &str, now: Instant) {
-        let until = state.outages.returned().map(|returned| returned + COME_BACK);
+    fn on_server_deleted(&self, state: &mut State, key: &str, now: Instant) {
+        let until = state.outages.last_recovery().map(|returned| returned + LAPSED_GRACE);
         match until.filter(|until| now < *until) {
             Some(until) => {
-                state.missing.insert(key.to_string(), until);
+                state.lapsed.insert(key.to_string(), until);
             }
-            None => self.drop_server(state, key),
+            None => self.remove_server(state, key),
         }
     }
 
-    pub(super) fn drop_server(&self, state: &mut State, key: &str) {
+    pub(super) fn remove_server(&self, state: &mut State, key: &str) {
         let id = self.id(key);
         state.server_changes.gone.push(id.to_string());
         self.gateway.servers().remove(id);
@@ -138,7 +144,7 @@
         key.strip_prefix(self.schema.servers()).unwrap_or(key)
     }
 
-    fn take_hall(&self, hall: &str, closed: bool, now: Instant) {
+    fn update_hall(&self, hall: &str, closed: bool, now: Instant) {
         info!(hall = hall, closed = closed; "hall that is to get nothing");
         let mut servers = self.gateway.servers();
         match closed {
@@ -147,7 +153,7 @@
         }
     }
 
-    fn take_quarantine(&self, request: &str, quarantined: bool, now: Instant) {
+    fn update_quarantine(&self, request: &str, quarantined: bool, now: Instant) {
         let Some(fingerprint) = Fingerprint::parse(request) else {
             warn!(key = request; "no fingerprint of a request: the key keeps nothing back");
             return;
@@ -162,12 +168,12 @@
         self.gateway.quarantine_changed.notify_one();
     }
 
-    fn take_daemon(&self, key: &str, value: Option<&[u8]>) {
+    fn update_daemon(&self, key: &str, value: Option<&[u8]>) {
         match value.map(serde_json::from_slice).transpose() {
-            Ok(daemon) => self.roster.take(key, daemon),
+            Ok(daemon) => self.roster.update(key, daemon),
             Err(e) => {
                 warn!(key = key, why = e.to_string().as_str(); "daemon's key not readable");
-                self.roster.take(key, None);
+                self.roster.update(key, None);
             }
         }
     }
--- a/src/gateway/mirror/retained.rs
+++ b/src/gateway/mirror/retained.rs
@@ -16,7 +16,7 @@
 
 /// Time for which a value that the operators or a daemon wrote stands. They write again within seconds, unless it had
 /// been taken back before any daemon read of that.
-const WRITTEN_AGAIN: Duration = Duration::from_secs(30);
+const REWRITE_TIME: Duration = Duration::from_secs(30);
 
 /// Time for which a server that has gone stays so though the store lists it. Where the copy brought its entry back, it
 /// lapses within three heartbeats of servers; where it is still listed then, the server lives.
@@ -46,9 +46,13 @@
     }
 
     /// The retained values of up to `most` bytes, for a peer. Says whether these are all.
-    pub(super) fn retained_for_peer(&self, most: usize, now: Instant) -> (Vec<Retained>, bool) {
+    pub(super) fn retained_for_peer(
+        &self,
+        max_bytes: usize,
+        now: Instant,
+    ) -> (Vec<Retained>, bool) {
         let left = |until: Instant| until.saturating_duration_since(now).as_millis() as u32;
-        let given = self.retained.iter().filter(|(_, kept)| kept.content.bytes() <= most);
+        let given = self.retained.iter().filter(|(_, kept)| kept.content.bytes() <= max_bytes);
         let given = given.map(|(key, kept)| Retained {
             key: key.to_string(),
             content: kept.content.clone(),
@@ -147,7 +151,7 @@
         let again = [schema.closed_halls(), schema.rollouts(), schema.daemons()];
         match () {
             () if key.starts_with(schema.servers()) => Some(now + ENTRY_LAPSE),
-            () if again.iter().any(|prefix| key.starts_with(prefix)) => Some(now + WRITTEN_AGAIN),
+            () if again.iter().any(|prefix| key.starts_with(prefix)) => Some(now + REWRITE_TIME),
             () => None,
         }
     }
@@ -170,8 +174,8 @@
                 continue;
             }
             match content.is_deleted() && key.starts_with(self.schema.servers()) {
-                true => self.drop_server(state, &key),
-                false => self.enforce(state, &key, position, &content, now, now),
+                true => self.remove_server(state, &key),
+                false => self.activate(state, &key, position, &content, now, now),
             }
         }
     }
@@ -188,7 +192,7 @@
             let (at, content) = key_state.map_or((state.position, Content::Deleted), |key_state| {
                 (key_state.revision, key_state.content)
             });
-            self.enforce(state, &key, at, &content, now, now);
+            self.activate(state, &key, at, &content, now, now);
         }
     }
 }
--- a/src/gateway/mirror/state.rs
+++ b/src/gateway/mirror/state.rs
@@ -12,11 +12,11 @@
 
 /// After the store was away, entries that lapsed meanwhile have this long to come back. Servers that
 /// live write again within about two seconds.
-pub(super) const COME_BACK: Duration = Duration::from_millis(1_900);
+pub(super) const LAPSED_GRACE: Duration = Duration::from_millis(1_900);
 /// Deleted keys that are remembered, so that peers can be told of each deletion.
-const MOST_DELETED: usize = 1_024;
+const MAX_DELETED: usize = 1_024;
 /// Eras of which it is remembered where this copy left them.
-const MOST_CROSSINGS: usize = 4;
+const MAX_ERA_CHANGES: usize = 4;
 
 #[derive(Debug, Clone)]
 pub(super) struct KeyState {
@@ -45,17 +45,17 @@
     /// The last change that matters among those up to the position.
     pub(super) changed: Position,
     /// The last one beyond the position, of those that were given ahead of large values.
-    pub(super) ahead: Position,
+    pub(super) last_change_ahead: Position,
     /// The position up to which no small value is missing, where that is beyond the copy's.
-    pub(super) small: Position,
+    pub(super) small_ahead: Position,
     /// The same of servers' entries and closed halls, where that is beyond both.
     pub(super) servers: Position,
     /// The last change that matters of those.
     pub(super) server_change: Position,
     /// Deletions up to this position are forgotten, but for those that a crossing spans.
-    pub(super) forgotten: Position,
+    pub(super) deletions_known_after: Position,
     /// The last eras that this copy came through without being made anew.
-    pub(super) crossings: VecDeque<Crossing>,
+    pub(super) era_changes: VecDeque<EraChange>,
     pub(super) confirmed: Option<Instant>,
     pub(super) outages: Outages,
     /// Where the first read of the whole store in this era stood.
@@ -63,11 +63,11 @@
     /// Values that stand though the store has lost them.
     pub(super) retained: HashMap<Arc<str>, Retention>,
     /// Checksums of peers' retained values that were fetched.
-    pub(super) asked: HashSet<u64>,
+    pub(super) fetched_retained: HashSet<u64>,
     /// Keys that mattered since the last era began, as far as they have been taken in.
-    pub(super) differing: usize,
+    pub(super) changed_in_era: usize,
     /// Servers whose entries lapsed while the store was away, and until when they are waited for.
-    pub(super) missing: HashMap<String, Instant>,
+    pub(super) lapsed: HashMap<String, Instant>,
     /// What of servers' entries is not logged yet.
     pub(super) server_changes: ServerChanges,
 }
@@ -75,7 +75,7 @@
 /// What a copy knew of an era when it went over to a later one: a peer's copy that stands between the two positions
 /// lacks what has mattered since then, and nothing else.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Crossing {
+pub(super) struct EraChange {
     from: Position,
     to: Position,
 }
@@ -132,7 +132,7 @@
 
 impl State {
     /// Holds a key's latest change.
-    pub(super) fn hold(&mut self, key: &str, key_state: KeyState) {
+    pub(super) fn set_key(&mut self, key: &str, key_state: KeyState) {
         let shared = self.keys.get_key_value(key).map(|(key, _)| key.clone());
         let shared = shared.unwrap_or_else(|| key.into());
         let (mattered, deleted) = (key_state.mattered, key_state.content.is_deleted());
@@ -150,7 +150,7 @@
 
     /// Forgets the older half of the deleted keys where there are too many.
     pub(super) fn forget_deleted(&mut self) {
-        if self.deleted <= MOST_DELETED {
+        if self.deleted <= MAX_DELETED {
             return;
         }
         let gone = self.keys.values().filter(|key_state| key_state.content.is_deleted());
@@ -167,7 +167,7 @@
         });
         self.deleted =
             self.keys.values().filter(|key_state| key_state.content.is_deleted()).count();
-        self.forgotten = self.forgotten.max(middle);
+        self.deletions_known_after = self.deletions_known_after.max(middle);
     }
 
     /// Keys whose last change that matters came after a position.
@@ -180,14 +180,14 @@
     }
 
     /// Whether a copy at such a position can be told all that it lacks by what has mattered since.
-    pub(super) fn spans(&self, after: Position) -> bool {
-        let crossed = |crossing: &Crossing| crossing.from <= after && after <= crossing.to;
-        after >= self.forgotten || self.crossings.iter().any(crossed)
+    pub(super) fn can_update_from(&self, after: Position) -> bool {
+        let is_covered = |change: &EraChange| change.from <= after && after <= change.to;
+        after >= self.deletions_known_after || self.era_changes.iter().any(is_covered)
     }
 
     /// Notes that all keys are as the store had them at a position of this era: those that were not told of are as
     /// they were before.
-    pub(super) fn restate(&mut self, since: Position) {
+    pub(super) fn restamp_keys(&mut self, since: Position) {
         for key_state in self.keys.values_mut().filter(|key_state| key_state.is_before(since.era)) {
             key_state.revision = since;
         }
@@ -205,14 +205,16 @@
         let servers = statement.servers_changed.max(begun) > self.servers();
         match statement.changed.max(begun) {
             changed if changed <= self.position && !servers => Lack::Nothing,
-            changed if changed <= self.position.max(self.small) && !servers => Lack::LargeValues,
+            changed if changed <= self.position.max(self.small_ahead) && !servers => {
+                Lack::LargeValues
+            }
             _ => Lack::Changes,
         }
     }
 
     /// The position up to which no server's entry is missing.
     pub(super) fn servers(&self) -> Position {
-        self.servers.max(self.small).max(self.position)
+        self.servers.max(self.small_ahead).max(self.position)
     }
 
     /// The last era of the store of which anything is known.
@@ -231,27 +233,32 @@
             return false;
         }
         self.base = base;
-        self.asked.clear();
-        self.crossings.push_back(Crossing { from: self.forgotten, to: self.position });
-        self.crossings.drain(..self.crossings.len().saturating_sub(MOST_CROSSINGS));
-        self.differing = 0;
-        self.outages.restored(now);
-        for until in self.missing.values_mut() {
-            *until = now + COME_BACK;
+        self.fetched_retained.clear();
+        self.era_changes
+            .push_back(EraChange { from: self.deletions_known_after, to: self.position });
+        self.era_changes.drain(..self.era_changes.len().saturating_sub(MAX_ERA_CHANGES));
+        self.changed_in_era = 0;
+        self.outages.note_restored(now);
+        for until in self.lapsed.values_mut() {
+            *until = now + LAPSED_GRACE;
         }
         true
     }
 
     /// Logs that this copy has gone over to a later era, as the store or a peer told.
     pub(super) fn log_era(&self, learned: &str) {
-        let before = self.crossings.back().map_or(Position::START, |crossing| crossing.to);
+        let before = self.era_changes.back().map_or(Position::START, |change| change.to);
         let (after, retained) = (self.servers(), self.retained.len());
-        info!(era = before.era, revision = before.revision, new_era = after.era, new_revision = after.revision, learned_from = learned, differing = self.differing, retained = retained; "the store came back from an older copy of itself");
+        info!(era = before.era, revision = before.revision, new_era = after.era, new_revision = after.revision, learned_from = learned, differing = self.changed_in_era, retained = retained; "the store came back from an older copy of itself");
     }
 
     /// The last position up to the copy's that may have changed something that matters.
     pub(super) fn last_change(&self) -> Position {
         // Changes that were given ahead are not told apart: some may lie below the position by now.
-        if self.ahead > self.position { self.position } else { self.changed.max(self.ahead) }
+        if self.last_change_ahead > self.position {
+            self.position
+        } else {
+            self.changed.max(self.last_change_ahead)
+        }
     }
 }
--- a/src/gateway/roster.rs
+++ b/src/gateway/roster.rs
@@ -64,7 +64,7 @@
     }
 
     /// Takes in a daemon's key; `None` where it is gone.
-    pub fn take(&self, key: &str, daemon: Option<Daemon>) {
+    pub fn update(&self, key: &str, daemon: Option<Daemon>) {
         let mut listed = self.listed();
         let changed = match daemon {
             Some(daemon) => listed.insert(key.to_string(), daemon.clone()) != Some(daemon),
--- a/src/gateway/start.rs
+++ b/src/gateway/start.rs
@@ -5,22 +5,22 @@
 use std::time::Duration;
 
 /// What a daemon waits for each one of its hall that is listed: as many are given copies before it.
-const FOR_EACH: Duration = Duration::from_millis(25);
+const WAIT_PER_DAEMON: Duration = Duration::from_millis(25);
 /// Most that it waits for them.
-const FOR_ALL: Duration = Duration::from_millis(4_000);
+const MAX_TOTAL_WAIT: Duration = Duration::from_millis(4_000);
 /// What each one waits longer than the one before it, so that they don't read the store together after all.
-const STEP: Duration = Duration::from_millis(100);
-const MOST_STEPS: u32 = 30;
+const WAIT_STEP: Duration = Duration::from_millis(100);
+const MAX_STEPS: u32 = 30;
 
 /// How long a daemon waits: not at all if it is the first of its hall in the order of reading.
 pub fn wait(own: &Daemon, listed: &[Daemon]) -> Duration {
-    let mates: Vec<&Daemon> =
+    let same_hall: Vec<&Daemon> =
         listed.iter().filter(|d| d.hall == own.hall && d.vm != own.vm).collect();
-    let before = mates.iter().filter(|d| rank(d) < rank(own)).count();
-    if before == 0 {
+    let preceding = same_hall.iter().filter(|d| rank(d) < rank(own)).count();
+    if preceding == 0 {
         return Duration::ZERO;
     }
-    let count = u32::try_from(mates.len()).unwrap_or(u32::MAX);
-    let steps = u32::try_from(before).unwrap_or(u32::MAX).min(MOST_STEPS).min(count / 2);
-    FOR_EACH.saturating_mul(count).min(FOR_ALL) + STEP * steps
+    let count = u32::try_from(same_hall.len()).unwrap_or(u32::MAX);
+    let steps = u32::try_from(preceding).unwrap_or(u32::MAX).min(MAX_STEPS).min(count / 2);
+    WAIT_PER_DAEMON.saturating_mul(count).min(MAX_TOTAL_WAIT) + WAIT_STEP * steps
 }
