--- a/src/gateway/budget.rs
+++ b/src/gateway/budget.rs
@@ -87,7 +87,7 @@
     }
 
     /// This daemon's place among them, in an order that each server has of its own.
-    pub fn place(&self, server: Tag) -> usize {
+    pub fn rank(&self, server: Tag) -> usize {
         let own = self.own.combined_with(server);
         self.others.iter().filter(|tag| tag.combined_with(server) < own).count()
     }
@@ -163,7 +163,7 @@
     }
 
     /// Notes a request for a service.
-    pub fn request(&mut self, service: &Arc<str>, now: Instant) {
+    pub fn record_request(&mut self, service: &Arc<str>, now: Instant) {
         let number = self.slice_number(now);
         self.window(service).slice(number).requests += 1;
     }
--- a/src/gateway/core.rs
+++ b/src/gateway/core.rs
@@ -390,7 +390,7 @@
 
     /// Notes a request for a service.
     pub fn count_request(&self, service: &Arc<str>, now: Instant) {
-        self.budget().request(service, now);
+        self.budget().record_request(service, now);
     }
 
     /// Whether the shared budget allows one more repeat.
--- a/src/gateway/limited.rs
+++ b/src/gateway/limited.rs
@@ -39,7 +39,7 @@
         let (_, rank) = *self.cold.lock().expect("no holder panics");
         let near = budget.cell_peers();
         let share = |server: Tag| {
-            let (daemons, place) = (near.count(), near.place(server));
+            let (daemons, place) = (near.count(), near.rank(server));
             let cell = CellShare { fraction: cell_fraction, daemons, position: place };
             Share { fraction, phase: rank.phase(server), cell }
         };
--- a/src/gateway/rollout/controller.rs
+++ b/src/gateway/rollout/controller.rs
@@ -173,7 +173,7 @@
     }
 
     async fn look(&mut self, now: Instant) {
-        self.gateway.listen(now);
+        self.gateway.merge_peer_stats(now);
         self.gateway.rollouts().weigh();
         self.gateway.look_at_rollouts(now);
         self.write_lost(now).await;
--- a/src/gateway/slot.rs
+++ b/src/gateway/slot.rs
@@ -207,7 +207,7 @@
     }
 
     /// Takes in what came from other daemons since the last time.
-    pub(super) fn listen(&self, now: Instant) {
+    pub(super) fn merge_peer_stats(&self, now: Instant) {
         if let Some(heard) = self.peer_source().and_then(|hearing| hearing.peer_stats(now)) {
             self.servers().set_peer_stats(&heard);
             self.rollouts().set_others(&heard.rollouts, now);
@@ -227,7 +227,7 @@
         tried: &[ServerKey],
         now: Instant,
     ) -> Result<Slot, NoSlot> {
-        self.listen(now);
+        self.merge_peer_stats(now);
         if let Some(left) = self.quarantine().quarantined_for(call.fingerprint(), now) {
             return Err(NoSlot { reason: "ends_servers", retry_after: left, due: None });
         }
@@ -304,7 +304,7 @@
         refused: &[ServerKey],
         now: Instant,
     ) -> Option<Slot> {
-        self.listen(now);
+        self.merge_peer_stats(now);
         let engine = service.engine.as_ref();
         let load = Load { unread_prompt: 0, incoming_copies: source.load.tokens, ..source.load };
         let (hall, far) = (source.hall.as_str(), REMOTE_HALL_COPY_COST);
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -143,7 +143,7 @@
     let (now, service) = (Instant::now(), Arc::<str>::from("app"));
     let mut budget = SharedRetryBudget::new(BOUNDS, now);
     for _ in 0..100 {
-        budget.request(&service, now);
+        budget.record_request(&service, now);
     }
     let first = spend(&mut budget, &service, RetryKind::Retry, now);
     assert!(first > 0 && f64::from(first) < 0.2 * 100.0 + 50.0);
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -239,7 +239,7 @@
     let requests = [0u32, 3, 40, 400, 90, 7];
     let part = |i: usize, heard: &[usize]| {
         let mut own = budget(now);
-        (0..requests[i]).for_each(|_| own.request(&service, now));
+        (0..requests[i]).for_each(|_| own.record_request(&service, now));
         let told = heard.iter().map(|j| requests[*j]).sum();
         let spent = [(Tag::of(&service), Spent { requests: told, retries: 0 })].into();
         own.set_others(Others {
--- a/tests/limits/play.rs
+++ b/tests/limits/play.rs
@@ -151,7 +151,7 @@
             return;
         }
         let service = Play::service();
-        self.known[i].budget.request(&service, now);
+        self.known[i].budget.record_request(&service, now);
         self.asked += 1;
         if !self.may_send(i, now) {
             self.refused += 1;
@@ -205,7 +205,7 @@
         let rank = Rank { before: i, daemons: listed };
         let near = budget.cell_peers();
         let share = |server: Tag| {
-            let (daemons, place) = (near.count(), near.place(server));
+            let (daemons, place) = (near.count(), near.rank(server));
             let cell = CellShare { fraction: cell_part, daemons, position: place };
             Share { fraction: part, phase: rank.phase(server), cell }
         };
