--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -11,7 +11,7 @@
 //! That server is judged, and not the least crowded of all: a daemon knows what others have sent some 0.1 s
 //! late, and of many servers the one that seems freest is the one of which it knows least. The bound is the
 //! same for all sizes and routes of a service: with one on what comes, its own prompt included, long prompts
-//! would be starved, and with one by each route's own aim, the route with the longest aim would fill the
+//! would be starved, and with one by each route's own slo, the route with the longest slo would fill the
 //! queue and shut out the others.
 
 use crate::gateway::servers::Load;
@@ -19,8 +19,8 @@
 use rand::{Rng, RngExt};
 use std::time::Duration;
 
-/// Tokens of prompts that may wait at a server for each millisecond of the aim: a third of the six that a
-/// crowded engine reads in one. The rest of the aim is for the request's own prompt and for what other daemons
+/// Tokens of prompts that may wait at a server for each millisecond of the slo: a third of the six that a
+/// crowded engine reads in one. The rest of the slo is for the request's own prompt and for what other daemons
 /// sent there meanwhile.
 const WAITING_PER_MS: f64 = 2.0;
 /// The same for a caller that was refused before: room is kept for it beyond what newcomers may take, since it
@@ -81,14 +81,14 @@
     /// Whatever there is.
     pub const NONE: Bound = Bound { waiting_tokens: f64::INFINITY, memory: f64::INFINITY };
 
-    /// The bound for such a request, where its service aims at `aim`.
-    pub fn of(aim: Duration, engine: &Engine, admission_class: AdmissionClass) -> Bound {
+    /// The bound for such a request, where its service aims at `slo`.
+    pub fn of(slo: Duration, engine: &Engine, admission_class: AdmissionClass) -> Bound {
         let (per_ms, fraction) = match admission_class {
             AdmissionClass::Newcomer => (WAITING_PER_MS, MEMORY_FRACTION),
             AdmissionClass::Returned => (WAITING_PER_MS_RETURNED, MEMORY_FRACTION_RETURNED),
             AdmissionClass::Begun => return Bound::NONE,
         };
-        let waiting = aim.as_secs_f64() * 1_000.0 * per_ms;
+        let waiting = slo.as_secs_f64() * 1_000.0 * per_ms;
         Bound { waiting_tokens: waiting, memory: f64::from(engine.memory) * fraction }
     }
 
@@ -109,8 +109,8 @@
 
 /// How long a stream is waited for whose server had so many tokens to read, its own among them: while they
 /// may still be read, it is slow and not lost, and to send it elsewhere would have its prompt read twice.
-pub fn first_event_timeout(aim: Duration, tokens: u32) -> Duration {
-    aim + prompt_read_time(tokens, MIN_READ_PER_MS)
+pub fn first_event_timeout(slo: Duration, tokens: u32) -> Duration {
+    slo + prompt_read_time(tokens, MIN_READ_PER_MS)
 }
 
 fn prompt_read_time(tokens: u32, per_ms: f64) -> Duration {
--- a/src/gateway/budget.rs
+++ b/src/gateway/budget.rs
@@ -169,8 +169,8 @@
     }
 
     /// Spends one repeat where what all daemons have spent allows it.
-    pub fn spend(&mut self, service: &Arc<str>, repeat: RetryKind, now: Instant) -> bool {
-        let allowed = self.allows(service, repeat, now);
+    pub fn spend(&mut self, service: &Arc<str>, kind: RetryKind, now: Instant) -> bool {
+        let allowed = self.allows(service, kind, now);
         if allowed {
             let number = self.slice_number(now);
             self.window(service).slice(number).retries += 1;
@@ -179,29 +179,29 @@
     }
 
     /// Whether what all daemons have spent allows one more repeat.
-    pub fn allows(&mut self, service: &Arc<str>, repeat: RetryKind, now: Instant) -> bool {
+    pub fn allows(&mut self, service: &Arc<str>, kind: RetryKind, now: Instant) -> bool {
         let number = self.slice_number(now);
         let all = self.others.daemons as f64 + 1.0;
-        let unheard = self.others.daemons.saturating_sub(self.others.reachable) as f64;
-        let told = self.others.spent.get(&Tag::of(service)).copied().unwrap_or_default();
+        let unreachable = self.others.daemons.saturating_sub(self.others.reachable) as f64;
+        let reported = self.others.spent.get(&Tag::of(service)).copied().unwrap_or_default();
         let bounds = self.bounds;
         let window = self.window(service);
         window.slice(number);
         let own = window.sum();
-        let requests = f64::from(own.requests + told.requests);
-        let slack = bounds.slack * (1.0 - unheard / all);
-        let spent = f64::from(own.retries + told.retries + 1);
-        spent <= (bounds.ratio * requests + slack) * USED_FRACTION * repeat.budget_fraction()
+        let requests = f64::from(own.requests + reported.requests);
+        let slack = bounds.slack * (1.0 - unreachable / all);
+        let spent = f64::from(own.retries + reported.retries + 1);
+        spent <= (bounds.ratio * requests + slack) * USED_FRACTION * kind.budget_fraction()
     }
 
     /// Requests for a service a second, of all daemons that are heard.
     pub fn rate(&mut self, service: &Arc<str>, now: Instant) -> f64 {
         let number = self.slice_number(now);
-        let told = self.others.spent.get(&Tag::of(service)).map_or(0, |spent| spent.requests);
+        let reported = self.others.spent.get(&Tag::of(service)).map_or(0, |spent| spent.requests);
         let counted = now.saturating_duration_since(self.started).min(self.bounds.window);
         let window = self.window(service);
         window.slice(number);
-        let requests = f64::from(window.sum().requests + told);
+        let requests = f64::from(window.sum().requests + reported);
         requests / counted.as_secs_f64().max(1.0)
     }
 
@@ -215,23 +215,25 @@
     /// have as many each as the others; the parts of all daemons add up to one.
     pub fn request_fraction(&mut self, service: &Arc<str>, now: Instant) -> f64 {
         let number = self.slice_number(now);
-        let told = self.others.spent.get(&Tag::of(service)).map_or(0, |spent| spent.requests);
+        let reported = self.others.spent.get(&Tag::of(service)).map_or(0, |spent| spent.requests);
         let all = self.others.daemons as f64 + 1.0;
         let reachable = self.others.reachable as f64 + 1.0;
         let window = self.window(service);
         window.slice(number);
-        // What others told is some tenths of a second old, so that with what has just come here, each daemon
+        // What others reported is some tenths of a second old, so that with what has just come here, each daemon
         // would take its own part for larger than it is when many requests begin to come.
         let own = f64::from(window.sum_before(number).requests);
-        let requests = (own + f64::from(told)) * (all / reachable).max(1.0);
+        let requests = (own + f64::from(reported)) * (all / reachable).max(1.0);
         (own + ASSUMED_REQUESTS) / (requests + ASSUMED_REQUESTS * all)
     }
 
     /// The same for all daemons of this one's cell together.
     pub fn cell_fraction(&mut self, service: &Arc<str>, now: Instant) -> f64 {
         let tag = Tag::of(service);
-        let told = |spent: &HashMap<Tag, Spent>| spent.get(&tag).map_or(0, |spent| spent.requests);
-        let (told, near) = (told(&self.others.spent), told(&self.others.cell_peers.spent));
+        let reported =
+            |spent: &HashMap<Tag, Spent>| spent.get(&tag).map_or(0, |spent| spent.requests);
+        let (reported, near) =
+            (reported(&self.others.spent), reported(&self.others.cell_peers.spent));
         let daemons = self.others.cell_peers.count() as f64;
         let all = self.others.daemons as f64 + 1.0;
         let reachable = self.others.reachable as f64 + 1.0;
@@ -239,7 +241,7 @@
         let window = self.window(service);
         window.slice(number);
         let own = f64::from(window.sum_before(number).requests);
-        let requests = (own + f64::from(told)) * (all / reachable).max(1.0);
+        let requests = (own + f64::from(reported)) * (all / reachable).max(1.0);
         let cell = own + f64::from(near);
         (cell + ASSUMED_REQUESTS * daemons) / (requests + ASSUMED_REQUESTS * all)
     }
--- a/src/gateway/core.rs
+++ b/src/gateway/core.rs
@@ -128,7 +128,7 @@
         regions: Regions,
         bounds: Bounds,
         wire: Arc<dyn Wire>,
-        placing: Box<dyn PlacementPolicy>,
+        placement_policy: Box<dyn PlacementPolicy>,
         now: Instant,
     ) -> Arc<Gateway> {
         Arc::new(Gateway {
@@ -139,7 +139,7 @@
             regions,
             revocation_delay: Mutex::new(bounds.revocation_delay),
             cold: Mutex::new((bounds.cold, Rank::default())),
-            placement_policy: placing,
+            placement_policy,
             peer_source: OnceLock::new(),
             servers: Mutex::default(),
             budget: Mutex::new(SharedRetryBudget::new(bounds.budget, now)),
@@ -185,8 +185,8 @@
     }
 
     /// Sets from where it hears of other daemons; only the first one counts.
-    pub fn set_peer_source(&self, hearing: Weak<dyn PeerSource>) {
-        self.peer_source.get_or_init(|| hearing);
+    pub fn set_peer_source(&self, source: Weak<dyn PeerSource>) {
+        self.peer_source.get_or_init(|| source);
     }
 
     pub(super) fn peer_source(&self) -> Option<Arc<dyn PeerSource>> {
@@ -196,8 +196,8 @@
     /// What the daemons of the same cell that rank before this one have running at a server.
     pub(crate) fn higher_ranked_load(&self, server: ServerKey, now: Instant) -> Load {
         let tag = self.servers().get(server).map(Server::tag);
-        let ahead = tag.and_then(|tag| Some(self.peer_source()?.higher_ranked_load(tag, now)));
-        ahead.unwrap_or_default()
+        let load = tag.and_then(|tag| Some(self.peer_source()?.higher_ranked_load(tag, now)));
+        load.unwrap_or_default()
     }
 
     /// Sets this daemon's place among those that send requests.
@@ -214,8 +214,8 @@
     /// Whether a request can be answered before the process ends: a stream that could outlast it is
     /// for another daemon to begin.
     pub fn can_finish(&self, call: &Call, now: Instant) -> bool {
-        let ends = *self.shutdown_deadline.lock().expect("no holder panics");
-        ends.is_none_or(|end| {
+        let deadline = *self.shutdown_deadline.lock().expect("no holder panics");
+        deadline.is_none_or(|end| {
             let left = end.saturating_duration_since(now).saturating_sub(SHUTDOWN_MARGIN);
             call.route.repeatable() || call.size.longest() <= left
         })
@@ -394,13 +394,13 @@
     }
 
     /// Whether the shared budget allows one more repeat.
-    pub fn allows_retry(&self, service: &Arc<str>, repeat: RetryKind, now: Instant) -> bool {
-        self.budget().allows(service, repeat, now)
+    pub fn allows_retry(&self, service: &Arc<str>, kind: RetryKind, now: Instant) -> bool {
+        self.budget().allows(service, kind, now)
     }
 
     /// Spends one repeat, if the shared budget allows it.
-    pub fn spend_retry(&self, service: &Arc<str>, repeat: RetryKind, now: Instant) -> bool {
-        self.budget().spend(service, repeat, now)
+    pub fn spend_retry(&self, service: &Arc<str>, kind: RetryKind, now: Instant) -> bool {
+        self.budget().spend(service, kind, now)
     }
 
     /// What this daemon has spent of the shared budget.
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -102,37 +102,37 @@
         now: Instant,
         rng: &mut dyn Rng,
     ) -> Option<ServerKey> {
-        let unseen = request.unreported_requests
+        let unreported = request.unreported_requests
             * request.engine.map_or(0.0, |engine| utilization(request.load, engine));
-        if unseen > request.cost_tolerance {
-            return draw_weighted(candidates, |c| cost(c, request, now), unseen, rng);
+        if unreported > request.cost_tolerance {
+            return draw_weighted(candidates, |c| cost(c, request, now), unreported, rng);
         }
         draw_cheapest(candidates, |c| cost(c, request, now), request.cost_tolerance, rng)
     }
 }
 
-/// One drawn where `unseen` more has been placed than the costs tell, by daemons that knew as little as
+/// One drawn where `unreported` more has been placed than the costs tell, by daemons that knew as little as
 /// this one and went where it seemed least. They have raised the least costs to one level: a server is as
 /// likely to be the right one as its cost lies below it (the "basic load interpretation" of M. Dahlin,
 /// Interpreting Stale Load Information, ICDCS 1999). To go to the least would send all of them to one server.
 fn draw_weighted(
     candidates: &[Candidate<'_>],
     cost: impl Fn(&Candidate<'_>) -> f64,
-    unseen: f64,
+    unreported: f64,
     rng: &mut dyn Rng,
 ) -> Option<ServerKey> {
     let mut costs: Vec<(f64, ServerKey)> = candidates.iter().map(|c| (cost(c), c.key)).collect();
     costs.sort_by(|(one, _), (other, _)| one.total_cmp(other));
-    let level = water_level(costs.iter().map(|(cost, _)| *cost), unseen)?;
+    let level = water_level(costs.iter().map(|(cost, _)| *cost), unreported)?;
     let below: Vec<(f64, ServerKey)> = costs
         .into_iter()
         .map(|(cost, key)| (level - cost, key))
-        .take_while(|(room, _)| *room > 0.0)
+        .take_while(|(below_level, _)| *below_level > 0.0)
         .collect();
-    let all: f64 = below.iter().map(|(room, _)| room).sum();
+    let all: f64 = below.iter().map(|(below_level, _)| below_level).sum();
     let mut at = rng.random_range(0.0..1.0) * all;
-    let drawn = below.iter().find(|(room, _)| {
-        at -= room;
+    let drawn = below.iter().find(|(below_level, _)| {
+        at -= below_level;
         at < 0.0
     });
     drawn.or(below.last()).map(|(_, key)| *key)
@@ -157,14 +157,14 @@
 pub(crate) fn draw_cheapest(
     candidates: &[Candidate<'_>],
     cost: impl Fn(&Candidate<'_>) -> f64,
-    alike: f64,
+    tolerance: f64,
     rng: &mut dyn Rng,
 ) -> Option<ServerKey> {
     let costs: Vec<(f64, ServerKey)> = candidates.iter().map(|c| (cost(c), c.key)).collect();
     let least = costs.iter().map(|(cost, _)| *cost).min_by(f64::total_cmp)?;
-    let alike: Vec<ServerKey> =
-        costs.iter().filter(|(cost, _)| *cost <= least + alike).map(|(_, key)| *key).collect();
-    Some(alike[rng.random_range(0..alike.len())])
+    let cheapest: Vec<ServerKey> =
+        costs.iter().filter(|(cost, _)| *cost <= least + tolerance).map(|(_, key)| *key).collect();
+    Some(cheapest[rng.random_range(0..cheapest.len())])
 }
 
 /// What a load takes of an engine, as a share of a full one.
@@ -189,6 +189,6 @@
     } else {
         used
     };
-    let far = if server.record.hall == request.hall { 0.0 } else { request.remote_cost };
-    used + far + server.failure_rate(now) * FAILURE_COST
+    let remote_cost = if server.record.hall == request.hall { 0.0 } else { request.remote_cost };
+    used + remote_cost + server.failure_rate(now) * FAILURE_COST
 }
--- a/src/gateway/policies.rs
+++ b/src/gateway/policies.rs
@@ -70,7 +70,7 @@
 /// Each server in its turn, whatever it has.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
-    turn: AtomicUsize,
+    next: AtomicUsize,
 }
 
 impl PlacementPolicy for RoundRobin {
@@ -85,7 +85,7 @@
         _now: Instant,
         _rng: &mut dyn Rng,
     ) -> Option<ServerKey> {
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
+        let turn = self.next.fetch_add(1, Ordering::Relaxed);
         let at = turn.checked_rem(candidates.len())?;
         Some(candidates[at].key)
     }
--- a/src/gateway/slot.rs
+++ b/src/gateway/slot.rs
@@ -20,7 +20,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Time after which a load of another cell of the hall is heard, on average: a heartbeat of its daemon, the
+/// Time after which a load of another cell of the hall is stats, on average: a heartbeat of its daemon, the
 /// relays' and that of this cell's relay, half of each on average, and their ways.
 const REPORT_DELAY: Duration = Duration::from_millis(70);
 
@@ -54,8 +54,8 @@
 }
 
 impl From<&'static str> for NoSlot {
-    fn from(why: &'static str) -> NoSlot {
-        NoSlot { reason: why, retry_after: DEFAULT_RETRY_AFTER, due: None }
+    fn from(reason: &'static str) -> NoSlot {
+        NoSlot { reason, retry_after: DEFAULT_RETRY_AFTER, due: None }
     }
 }
 
@@ -128,8 +128,8 @@
     /// Notes how the exchange went.
     pub fn record_result(&self, failed: bool) {
         self.gateway.record_result(self.key(), failed);
-        if let Some(trial) = self.rollout_sample {
-            self.gateway.record_rollout_sample(trial, failed);
+        if let Some(sample) = self.rollout_sample {
+            self.gateway.record_rollout_sample(sample, failed);
         }
     }
 
@@ -179,7 +179,7 @@
         server.recent_cold_requests(now) < rank.share(server.tag(), service.warm_up, bounds)
     }
 
-    /// Whether a server may take a request, whatever limit it names: it is not among those that were tried, the
+    /// Whether a server may take a request, whatever limit it names: it is not filter those that were tried, the
     /// request may go to its hall, it doesn't rest, and it bears one more.
     pub(super) fn may_take<'a>(
         &'a self,
@@ -199,20 +199,20 @@
 
     /// Requests for a service that daemons of this hall are expected to have sent since they told.
     fn unreported_requests(&self, service: &Arc<str>, now: Instant) -> f64 {
-        let late = *self.delayed_share.lock().expect("no holder panics");
-        if late == 0.0 {
+        let share = *self.delayed_share.lock().expect("no holder panics");
+        if share == 0.0 {
             return 0.0;
         }
-        late * self.budget().rate(service, now) * REPORT_DELAY.as_secs_f64()
+        share * self.budget().rate(service, now) * REPORT_DELAY.as_secs_f64()
     }
 
     /// Takes in what came from other daemons since the last time.
     pub(super) fn merge_peer_stats(&self, now: Instant) {
-        if let Some(heard) = self.peer_source().and_then(|hearing| hearing.peer_stats(now)) {
-            self.servers().set_peer_stats(&heard);
-            self.rollouts().set_others(&heard.rollouts, now);
-            self.quarantine().set_others(&heard.evidence, now);
-            if !heard.evidence.is_empty() {
+        if let Some(stats) = self.peer_source().and_then(|source| source.peer_stats(now)) {
+            self.servers().set_peer_stats(&stats);
+            self.rollouts().set_others(&stats.rollouts, now);
+            self.quarantine().set_others(&stats.evidence, now);
+            if !stats.evidence.is_empty() {
                 self.quarantine_changed.notify_one();
             }
         }
@@ -234,13 +234,13 @@
         let engine = service.engine.as_ref();
         let load = Load::of(call.size, call.route.repeatable());
         let divided = self.divided.load(Ordering::Relaxed);
-        let far = if divided { STALE_REMOTE_HALL_COST } else { REMOTE_HALL_COST };
-        let unseen = self.unreported_requests(&service.name, now);
-        let need = PlacementRequest {
+        let remote_cost = if divided { STALE_REMOTE_HALL_COST } else { REMOTE_HALL_COST };
+        let unreported_requests = self.unreported_requests(&service.name, now);
+        let request = PlacementRequest {
             hall: &self.hall,
-            remote_cost: far,
+            remote_cost,
             cost_tolerance: COST_TOLERANCE,
-            unreported_requests: unseen,
+            unreported_requests,
             load,
             engine,
         };
@@ -254,13 +254,13 @@
             _ => Draw::Again,
         };
         let pick = self.pick(&service.name, draw, now);
-        let among = ServerFilter { excluded: tried, pick: pick.as_ref() };
-        let slot = self.choose_slot(service, &need, call, terms, among, now);
+        let filter = ServerFilter { excluded: tried, pick: pick.as_ref() };
+        let slot = self.choose_slot(service, &request, call, terms, filter, now);
         match pick {
             // The old servers have room where the few of the new version have none.
             Some(pick) if slot.is_err() && pick.arm == Arm::Candidate => {
-                let among = ServerFilter { excluded: tried, pick: Some(&pick.baseline()) };
-                self.choose_slot(service, &need, call, terms, among, now)
+                let filter = ServerFilter { excluded: tried, pick: Some(&pick.baseline()) };
+                self.choose_slot(service, &request, call, terms, filter, now)
             }
             _ => slot,
         }
@@ -284,9 +284,9 @@
     }
 
     /// Notes how a request went that counts in a roll-out.
-    pub(crate) fn record_rollout_sample(&self, trial: RolloutSample, failed: bool) {
-        let time = (!failed).then(|| time::since(trial.sent).max(trial.time_floor));
-        self.rollouts().note(trial.stratum, time);
+    pub(crate) fn record_rollout_sample(&self, sample: RolloutSample, failed: bool) {
+        let time = (!failed).then(|| time::since(sample.sent).max(sample.time_floor));
+        self.rollouts().note(sample.stratum, time);
     }
 
     /// The shortest aim of a service's routes.
@@ -307,10 +307,10 @@
         self.merge_peer_stats(now);
         let engine = service.engine.as_ref();
         let load = Load { unread_prompt: 0, incoming_copies: source.load.tokens, ..source.load };
-        let (hall, far) = (source.hall.as_str(), REMOTE_HALL_COPY_COST);
-        let need = PlacementRequest {
+        let (hall, remote_cost) = (source.hall.as_str(), REMOTE_HALL_COPY_COST);
+        let request = PlacementRequest {
             hall,
-            remote_cost: far,
+            remote_cost,
             cost_tolerance: COPY_COST_TOLERANCE,
             unreported_requests: 0.0,
             load,
@@ -318,8 +318,8 @@
         };
         let terms = AdmissionTerms { admission_class: AdmissionClass::Begun, bound: Bound::NONE };
         let pick = self.pick(&service.name, || Draw::Again, now);
-        let among = ServerFilter { excluded: refused, pick: pick.as_ref() };
-        self.choose_slot(service, &need, call, terms, among, now).ok()
+        let filter = ServerFilter { excluded: refused, pick: pick.as_ref() };
+        self.choose_slot(service, &request, call, terms, filter, now).ok()
     }
 
     fn choose_slot(
@@ -328,12 +328,12 @@
         request: &PlacementRequest<'_>,
         call: &Call,
         terms: AdmissionTerms,
-        among: ServerFilter<'_>,
+        filter: ServerFilter<'_>,
         now: Instant,
     ) -> Result<Slot, NoSlot> {
         let load = request.load;
-        let may_take = self.may_take(service, call, among.excluded, now);
-        let admits = |key, server: &Server| among.pick.is_none_or(|pick| pick.admits(key, server));
+        let may_take = self.may_take(service, call, filter.excluded, now);
+        let admits = |key, server: &Server| filter.pick.is_none_or(|pick| pick.admits(key, server));
         let may_take = |key, server: &Server| admits(key, server) && may_take(key, server);
         let mut servers = self.servers();
         let quota = self.limited_quota(&mut servers, &service.name, may_take, now);
@@ -345,20 +345,20 @@
         // What is unseen lies at all servers, drawn or not.
         let all = servers.count(&service.name);
         let drawn = if all > MAX_EXAMINED { candidates.len() as f64 / all as f64 } else { 1.0 };
-        let need = &PlacementRequest {
+        let request = &PlacementRequest {
             unreported_requests: request.unreported_requests * drawn,
             ..*request
         };
-        let chosen = self.placement_policy.choose(&candidates, need, now, &mut rand::rng());
+        let chosen = self.placement_policy.choose(&candidates, request, now, &mut rand::rng());
         let Some(key) = chosen else {
             let limited = quota.map(|quota| self.no_quota(quota, &service.name, call, now));
-            let why = limited.unwrap_or("no_server".into());
-            return Err(self.after_backoff(why, &servers, service, call, now));
+            let no_slot = limited.unwrap_or("no_server".into());
+            return Err(self.after_backoff(no_slot, &servers, service, call, now));
         };
         let there = servers.get(key).map(Server::load).unwrap_or_default();
         if !terms.bound.admits(there) {
-            let come_back = admission::retry_after(there.unread_prompt, &mut rand::rng());
-            return Err(NoSlot { reason: "crowded", retry_after: come_back, due: None });
+            let retry_after = admission::retry_after(there.unread_prompt, &mut rand::rng());
+            return Err(NoSlot { reason: "crowded", retry_after, due: None });
         }
         if servers.get(key).is_some_and(|server| server.is_cold(service.warm_up, now)) {
             servers.note_cold_request(key, now);
@@ -382,8 +382,8 @@
         let notice = server.notice();
         let stratum =
             self.rollouts().stratum(&service.name, &call.route.name, &server.record.version);
-        let least = call.route.latency_slo.mul_f64(UNNOTICEABLE_FRACTION);
-        let trial = stratum.map(|stratum| RolloutSample { stratum, sent: now, time_floor: least });
+        let time_floor = call.route.latency_slo.mul_f64(UNNOTICEABLE_FRACTION);
+        let sample = stratum.map(|stratum| RolloutSample { stratum, sent: now, time_floor });
         let (gateway, waiting) = (self.clone(), there.unread_prompt);
         Ok(Slot {
             gateway,
@@ -391,7 +391,7 @@
             notice,
             store_age: None,
             waiting_tokens: waiting,
-            rollout_sample: trial,
+            rollout_sample: sample,
         })
     }
 }
--- a/src/gateway/table.rs
+++ b/src/gateway/table.rs
@@ -179,7 +179,7 @@
     /// Bounds on callers.
     pub limits: Limits,
     by_host: HashMap<String, Vec<Arc<Route>>>,
-    /// The shortest aim of the routes to each service.
+    /// The shortest slo of the routes to each service.
     latency_slos: HashMap<Arc<str>, Duration>,
     services: HashMap<Arc<str>, Arc<Service>>,
     workspaces: Vec<Workspace>,
@@ -199,8 +199,8 @@
         let mut aims: HashMap<Arc<str>, Duration> = HashMap::new();
         for route in routes {
             for target in &route.targets {
-                let aim = aims.entry(target.service.clone()).or_insert(route.latency_slo);
-                *aim = route.latency_slo.min(*aim);
+                let slo = aims.entry(target.service.clone()).or_insert(route.latency_slo);
+                *slo = route.latency_slo.min(*slo);
             }
             by_host.entry(route.host.to_ascii_lowercase()).or_default().push(Arc::new(route));
         }
@@ -232,7 +232,7 @@
             .filter(|homes| !homes.0.is_empty())
     }
 
-    /// The shortest aim of the routes to a service.
+    /// The shortest slo of the routes to a service.
     pub fn latency_slo(&self, service: &str) -> Option<Duration> {
         self.latency_slos.get(service).copied()
     }
