--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -1,65 +1,66 @@
-//! Who is let in while engines are crowded, and when the others are to come back.
+//! Admission control for crowded engines, and the time after which refused callers should come back.
 //!
-//! An engine reads prompts one after the other, between the tokens of what runs, and a prompt is read once
-//! its run finds memory. Where more come than all engines can read and hold, a queue without a bound grows
-//! until each first event is late; with one, almost all of those that are let in are in time. So a request is
-//! refused at once where the server that suits it best has too much to read, or too little memory left.
-//! Before some 51 engines at nine tenths of what they can read, with a sixth of them leaving each 3.3 s, 774
-//! of 1,271 drafts began in time in place of 617 and 1,490 of 2,393 summaries in place of 1,203; a twentieth
-//! of all was refused.
+//! An engine reads prompts one after another, between the tokens of its running requests, and reads a
+//! prompt only once its run finds memory. When more requests arrive than all engines can read and hold, an
+//! unbounded queue grows until every first event is late. With a bounded queue, almost all admitted
+//! requests are in time. A request is therefore refused at once if the server that suits it best has too
+//! much to read or too little memory left.
 //!
-//! That server is judged, and not the least crowded of all: a daemon knows what others have sent some 0.1 s
-//! late, and of many servers the one that seems freest is the one of which it knows least. The bound is the
-//! same for all sizes and routes of a service: with one on what comes, its own prompt included, long prompts
-//! would be starved, and with one by each route's own slo, the route with the longest slo would fill the
-//! queue and shut out the others.
+//! Measured with some 51 engines at nine tenths of the prompts that they can read, with a sixth of them
+//! leaving every 3.3 s: 774 of 1,271 drafts began in time instead of 617, and 1,490 of 2,393 summaries
+//! instead of 1,203. A twentieth of all requests was refused.
+//!
+//! The decision looks at the server that suits the request best, not at the least crowded one. A daemon
+//! learns what others have sent about 0.1 s late, and of many servers, the one that seems emptiest is the
+//! one about which it knows least. The bound is the same for all sizes and routes of a service: if the
+//! request's own prompt counted, long prompts would starve, and if each route had a bound by its own SLO,
+//! the route with the longest one would fill the queue and shut out the others.
 
 use crate::gateway::servers::Load;
 use crate::gateway::table::Engine;
 use rand::{Rng, RngExt};
 use std::time::Duration;
 
-/// Tokens of prompts that may wait at a server for each millisecond of the slo: a third of the six that a
-/// crowded engine reads in one. The rest of the slo is for the request's own prompt and for what other daemons
-/// sent there meanwhile.
+/// Prompt tokens that may wait at a server per millisecond of the SLO: a third of the six that a crowded
+/// engine reads in that time. The rest of the SLO is for the request's own prompt and for what other
+/// daemons have sent there meanwhile.
 const WAITING_PER_MS: f64 = 2.0;
-/// The same for a caller that was refused before: room is kept for it beyond what newcomers may take, since it
-/// comes back as it was told to and has no time for a third try.
+/// The same for a caller that was refused before. It gets more than new callers, since it comes back when
+/// it was told to and has no time for a third try.
 const WAITING_PER_MS_RETURNED: f64 = 3.0;
-/// Part of a server's memory that its runs may need at their longest, for a newcomer: what it takes itself, a
-/// sixth of the memory where engines are small, then still fits.
+/// Fraction of a server's memory that its runs may need at their longest for a new request to be admitted.
+/// The request itself then still fits: it takes up to a sixth of the memory of a small engine.
 const MEMORY_FRACTION: f64 = 0.85;
 /// The same for a caller that was refused before.
 const MEMORY_FRACTION_RETURNED: f64 = 1.0;
-/// Tokens of prompts that a crowded engine reads in a millisecond: 112 in a step of some 16 ms, beside its
-/// runs.
+/// Prompt tokens that a crowded engine reads per millisecond: 112 in a step of some 16 ms, beside its runs.
 const READ_PER_MS: f64 = 6.0;
-/// The same of the slowest engine beside a full batch: two times the step, on a server that is 1.3 times as
-/// slow as others.
+/// The same for the slowest engine with a full batch: its step takes twice as long, on a server that is 1.3
+/// times as slow as others.
 const MIN_READ_PER_MS: f64 = 2.5;
-/// Least time after which a refused caller comes back: a server of six runs of some seven seconds ends one of
-/// them about so often, which is when it has room for another one.
+/// Shortest time after which a refused caller comes back. A server with six runs of some seven seconds each
+/// completes one about this often, and then has capacity for another one.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(1_000);
-/// Part of the time to come back that is drawn at random, up and down, so that those refused together don't
-/// come together.
+/// Fraction by which the time to come back is randomly lengthened or shortened, so that callers refused
+/// together don't return together.
 const JITTER: f64 = 0.4;
-/// Time that a caller must have spent before, of that which its route gives, to count as one that comes back:
-/// more than its way here takes.
+/// Time of its route's timeout that a caller must have used up to count as one that comes back: more than
+/// it takes to reach this daemon.
 const MIN_TIME_SPENT: Duration = Duration::from_millis(250);
 
-/// How a request stands to those that wait.
+/// How a request is treated at a crowded server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionClass {
-    /// Its caller comes for the first time.
+    /// The caller's first attempt.
     Newcomer,
-    /// Its caller, or a server, was refused before.
+    /// The caller was refused before, or a server refused the request.
     Returned,
-    /// It has begun to be answered and goes on elsewhere.
+    /// The request's answer has begun and continues at another server.
     Begun,
 }
 
 impl AdmissionClass {
-    /// The standing of a caller that has so much of its route's time left.
+    /// The class of a caller that has `left` of the `whole` timeout of its route.
     pub fn of(left: Duration, whole: Duration) -> AdmissionClass {
         match whole.saturating_sub(left) >= MIN_TIME_SPENT {
             true => AdmissionClass::Returned,
@@ -68,20 +69,20 @@
     }
 }
 
-/// What may wait and run at a server that takes one more request.
+/// Upper bounds on the load at a server for it to admit another request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bound {
-    /// Tokens of prompts that are still to be read.
+    /// Prompt tokens that are still to be read.
     waiting_tokens: f64,
-    /// Memory that its runs need at their longest, in tokens.
+    /// Memory that the server's runs need at their longest, in tokens.
     memory: f64,
 }
 
 impl Bound {
-    /// Whatever there is.
+    /// No bound.
     pub const NONE: Bound = Bound { waiting_tokens: f64::INFINITY, memory: f64::INFINITY };
 
-    /// The bound for such a request, where its service aims at `slo`.
+    /// The bound for a request of the given class, where `slo` is the strictest of its service.
     pub fn of(slo: Duration, engine: &Engine, admission_class: AdmissionClass) -> Bound {
         let (per_ms, fraction) = match admission_class {
             AdmissionClass::Newcomer => (WAITING_PER_MS, MEMORY_FRACTION),
@@ -92,7 +93,7 @@
         Bound { waiting_tokens: waiting, memory: f64::from(engine.memory) * fraction }
     }
 
-    /// Whether a server with such a load takes one more. One at which nothing waits and runs takes any.
+    /// Whether a server with this load admits another request. An idle server always does.
     pub fn admits(self, load: Load) -> bool {
         let fits = f64::from(load.unread_prompt) <= self.waiting_tokens
             && f64::from(load.tokens) <= self.memory;
@@ -100,15 +101,16 @@
     }
 }
 
-/// When a caller is to come back that was refused at a server where so many tokens wait: by then they are
-/// read, and some run there has ended.
+/// Time after which a caller should come back that was refused at a server with this many prompt tokens
+/// waiting: by then they are read, and one of the server's runs has probably ended.
 pub fn retry_after(waiting: u32, rng: &mut dyn Rng) -> Duration {
     let read = prompt_read_time(waiting, READ_PER_MS).max(MIN_RETRY_AFTER);
     read.mul_f64(1.0 + JITTER * rng.random_range(-1.0..1.0))
 }
 
-/// How long a stream is waited for whose server had so many tokens to read, its own among them: while they
-/// may still be read, it is slow and not lost, and to send it elsewhere would have its prompt read twice.
+/// Longest time to wait for a stream's first event, where the server had `tokens` to read, including the
+/// stream's own prompt. Until they can be read, the server counts as slow and not as lost: sending the
+/// request elsewhere would have its prompt read twice.
 pub fn first_event_timeout(slo: Duration, tokens: u32) -> Duration {
     slo + prompt_read_time(tokens, MIN_READ_PER_MS)
 }
--- a/src/gateway/budget.rs
+++ b/src/gateway/budget.rs
@@ -1,10 +1,10 @@
-//! This daemon's share of the budget for sending requests more than once.
+//! This daemon's share of the retry budget, the budget for sending requests more than once.
 //!
-//! The budget holds for all daemons together: within a window, what is sent beyond the first
-//! sending of each request stays under a ratio of the requests plus a constant. Daemons tell each
-//! other what they have spent. Of a daemon that is not heard, it is assumed that it spends its equal
-//! part of the constant, and it assumes the same of those that it does not hear: daemons that lose
-//! each other can't spend anything twice.
+//! The budget holds for all daemons together: within a window, the number of retries (whatever is sent
+//! beyond the first attempt of each request) stays below a ratio of the requests plus a constant. Daemons
+//! report to each other what they have spent. An unreachable daemon is assumed to spend its equal part of
+//! the constant, and it assumes the same of the daemons that it can't reach. Daemons that lose contact with
+//! each other therefore can't spend anything twice.
 
 use crate::gateway::tag::Tag;
 use serde::{Deserialize, Serialize};
@@ -13,32 +13,32 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Part of the allowance that is used; the rest is for what several daemons spend in the same moment,
-/// and for restarted daemons, which forget what they spent.
+/// Fraction of the allowance that is used. The rest is for what several daemons spend at the same moment,
+/// and for restarted daemons, which forget what they have spent.
 const USED_FRACTION: f64 = 0.7;
-/// Requests within a window that are assumed of each daemon besides those counted: where few have come, as after
-/// a start, daemons have equal parts.
+/// Requests that are added to each daemon's count within a window: while few have arrived, such as after a
+/// start, daemons get equal parts.
 const ASSUMED_REQUESTS: f64 = 3.0;
-/// Slices of a window; what is older than a window goes by one slice at a time.
+/// Number of slices of a window; counts expire by whole slices.
 const SLICES: u32 = 20;
 
-/// The budget as the platform declares it.
+/// Bounds of the budget, as configured in the platform.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetBounds {
-    /// Repeats allowed for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Repeats allowed besides, over all daemons.
+    /// Retries allowed in addition, for all daemons together.
     pub slack: f64,
-    /// The window in which both are counted.
+    /// Window over which requests and retries are counted.
     pub window: Duration,
 }
 
-/// What was asked and spent within a window.
+/// Requests and retries within a window.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Spent {
-    /// Requests.
+    /// Number of requests.
     pub requests: u32,
-    /// Sendings beyond the first of each.
+    /// Number of attempts beyond the first of each request.
     pub retries: u32,
 }
 
@@ -52,41 +52,41 @@
 /// What is known of the other daemons that share the budget.
 #[derive(Debug, Default)]
 pub struct Others {
-    /// How many there are.
+    /// Number of other daemons.
     pub daemons: usize,
-    /// How many of them are heard.
+    /// How many of them are reachable.
     pub reachable: usize,
-    /// What those have spent.
+    /// Sum of what the reachable ones have spent, by service.
     pub spent: HashMap<Tag, Spent>,
-    /// The daemons of this one's cell among them.
+    /// The other daemons of this daemon's cell.
     pub cell_peers: CellPeers,
 }
 
-/// The daemons of a cell, as one of them hears the others.
+/// What a daemon knows of the others in its cell.
 #[derive(Debug)]
 pub struct CellPeers {
-    /// The tag of this daemon's name.
+    /// Tag of this daemon's name.
     pub own: Tag,
-    /// Those of the others.
+    /// Tags of the other daemons' names.
     pub others: Vec<Tag>,
-    /// What the others have spent.
+    /// Sum of what the others have spent, by service.
     pub spent: HashMap<Tag, Spent>,
 }
 
 impl Default for CellPeers {
-    /// A cell of one.
+    /// A cell with a single daemon.
     fn default() -> CellPeers {
         CellPeers { own: Tag::of_number(0), others: Vec::new(), spent: HashMap::new() }
     }
 }
 
 impl CellPeers {
-    /// How many daemons there are, this one included.
+    /// Number of daemons in the cell, including this one.
     pub fn count(&self) -> usize {
         self.others.len() + 1
     }
 
-    /// This daemon's place among them, in an order that each server has of its own.
+    /// Rank of this daemon among those of the cell; the order differs from server to server.
     pub fn rank(&self, server: Tag) -> usize {
         let own = self.own.combined_with(server);
         self.others.iter().filter(|tag| tag.combined_with(server) < own).count()
@@ -113,7 +113,7 @@
         self.sum_before(u64::MAX)
     }
 
-    /// What was counted before a slice.
+    /// Sum of the slices before a slice.
     fn sum_before(&self, number: u64) -> Spent {
         let mut sum = Spent::default();
         for (_, slice) in self.slices.iter().filter(|(n, _)| *n < number) {
@@ -123,17 +123,18 @@
     }
 }
 
-/// What a repeat is for; the more is lost without it, the more of the budget it may use.
+/// Purpose of a retry. The more would be lost without it, the larger the fraction of the budget that it may
+/// use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryKind {
-    /// Carries a running request over to another replica.
+    /// Continues a running request on another replica.
     Continuation,
     /// Sends a request again after a failure or a refusal.
     Retry,
 }
 
 impl RetryKind {
-    /// Part of the budget up to which such repeats are allowed.
+    /// Fraction of the budget up to which retries of this kind are allowed.
     fn budget_fraction(self) -> f64 {
         match self {
             RetryKind::Continuation => 1.0,
@@ -142,7 +143,7 @@
     }
 }
 
-/// See the module.
+/// A daemon's view of the retry budget, see the [module documentation](self).
 #[derive(Debug)]
 pub struct SharedRetryBudget {
     bounds: BudgetBounds,
@@ -152,7 +153,7 @@
 }
 
 impl SharedRetryBudget {
-    /// A budget of which nothing is spent.
+    /// Creates a budget of which nothing is spent.
     pub fn new(bounds: BudgetBounds, now: Instant) -> SharedRetryBudget {
         SharedRetryBudget {
             bounds,
@@ -162,13 +163,13 @@
         }
     }
 
-    /// Notes a request for a service.
+    /// Counts a request for a service.
     pub fn record_request(&mut self, service: &Arc<str>, now: Instant) {
         let number = self.slice_number(now);
         self.window(service).slice(number).requests += 1;
     }
 
-    /// Spends one repeat where what all daemons have spent allows it.
+    /// Spends one retry if what all daemons have spent allows it.
     pub fn spend(&mut self, service: &Arc<str>, kind: RetryKind, now: Instant) -> bool {
         let allowed = self.allows(service, kind, now);
         if allowed {
@@ -178,7 +179,7 @@
         allowed
     }
 
-    /// Whether what all daemons have spent allows one more repeat.
+    /// Whether what all daemons have spent allows one more retry.
     pub fn allows(&mut self, service: &Arc<str>, kind: RetryKind, now: Instant) -> bool {
         let number = self.slice_number(now);
         let all = self.others.daemons as f64 + 1.0;
@@ -194,7 +195,7 @@
         spent <= (bounds.ratio * requests + slack) * USED_FRACTION * kind.budget_fraction()
     }
 
-    /// Requests for a service a second, of all daemons that are heard.
+    /// Requests per second for a service, at this daemon and all that are reachable.
     pub fn rate(&mut self, service: &Arc<str>, now: Instant) -> f64 {
         let number = self.slice_number(now);
         let reported = self.others.spent.get(&Tag::of(service)).map_or(0, |spent| spent.requests);
@@ -205,14 +206,14 @@
         requests / counted.as_secs_f64().max(1.0)
     }
 
-    /// The same of each service that this daemon has had requests for.
+    /// The same for each service for which this daemon has had requests.
     pub fn rates(&mut self, now: Instant) -> Vec<(Arc<str>, f64)> {
         let services: Vec<Arc<str>> = self.services.keys().cloned().collect();
         services.into_iter().map(|s| (s.clone(), self.rate(&s, now))).collect()
     }
 
-    /// This daemon's part of the requests for a service of all daemons. Those that are not heard are taken to
-    /// have as many each as the others; the parts of all daemons add up to one.
+    /// Fraction of all daemons' requests for a service that arrive at this daemon. Unreachable daemons are
+    /// assumed to get as many each as the others. The fractions of all daemons add up to one.
     pub fn request_fraction(&mut self, service: &Arc<str>, now: Instant) -> f64 {
         let number = self.slice_number(now);
         let reported = self.others.spent.get(&Tag::of(service)).map_or(0, |spent| spent.requests);
@@ -220,14 +221,14 @@
         let reachable = self.others.reachable as f64 + 1.0;
         let window = self.window(service);
         window.slice(number);
-        // What others reported is some tenths of a second old, so that with what has just come here, each daemon
-        // would take its own part for larger than it is when many requests begin to come.
+        // Reports of other daemons are some tenths of a second old. If requests of the current slice were
+        // counted, each daemon would overestimate its own fraction while the rate rises.
         let own = f64::from(window.sum_before(number).requests);
         let requests = (own + f64::from(reported)) * (all / reachable).max(1.0);
         (own + ASSUMED_REQUESTS) / (requests + ASSUMED_REQUESTS * all)
     }
 
-    /// The same for all daemons of this one's cell together.
+    /// The same for all daemons of this daemon's cell together.
     pub fn cell_fraction(&mut self, service: &Arc<str>, now: Instant) -> f64 {
         let tag = Tag::of(service);
         let reported =
@@ -246,12 +247,12 @@
         (cell + ASSUMED_REQUESTS * daemons) / (requests + ASSUMED_REQUESTS * all)
     }
 
-    /// The daemons of this one's cell.
+    /// The daemons of this daemon's cell.
     pub fn cell_peers(&self) -> &CellPeers {
         &self.others.cell_peers
     }
 
-    /// What this daemon has spent within the window.
+    /// What this daemon has spent within the window, by service.
     pub fn spent(&mut self, now: Instant) -> Vec<(Tag, Spent)> {
         let number = self.slice_number(now);
         let windows = self.services.iter_mut();
@@ -262,7 +263,7 @@
         sums.filter(|(_, spent)| *spent != Spent::default()).collect()
     }
 
-    /// Takes over other bounds; with another window, what was counted starts anew.
+    /// Replaces the bounds. If the window's length changes, all counts are reset.
     pub fn set_bounds(&mut self, bounds: BudgetBounds) {
         if bounds.window != self.bounds.window {
             self.services.clear();
@@ -270,7 +271,7 @@
         self.bounds = bounds;
     }
 
-    /// Sets what is known of the other daemons.
+    /// Updates what is known of the other daemons.
     pub fn set_others(&mut self, others: Others) {
         self.others = others;
     }
--- a/src/gateway/core.rs
+++ b/src/gateway/core.rs
@@ -1,4 +1,4 @@
-//! The state that all requests of one daemon share.
+//! State shared by all requests that one daemon handles.
 
 use crate::gateway::budget::{BudgetBounds, Others, RetryKind, SharedRetryBudget, Spent};
 use crate::gateway::cold::{ColdBounds, Rank};
@@ -24,69 +24,72 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Notify, Semaphore, watch};
 
-/// Bounds that the platform sets.
+/// Bounds set in the platform's configuration.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// Longest time after which a key that was taken away may still be used; `None` where it is not strict.
+    /// Longest time for which a revoked key may still be used; `None` if there is no strict bound.
     pub revocation_delay: Option<Duration>,
-    /// Budget for repeats.
+    /// Bounds of the shared retry budget.
     pub budget: BudgetBounds,
-    /// What a cold server may get.
+    /// How many requests a cold server may get.
     pub cold: ColdBounds,
-    /// Part of a service's requests that servers of a new version may get before they are known to be sound.
+    /// Fraction of a service's requests that servers of a new version may get until the version is known to
+    /// be sound.
     pub exposure: f64,
 }
 
-/// Part of the bound on revoked keys up to which a confirmation counts. The rest is for the time
-/// between this check and the moment a backend server begins to work.
+/// Fraction of the revocation delay up to which the copy of the store counts as fresh. The rest covers the
+/// time between this check and the moment a backend server begins to work.
 const FRESH_FRACTION: f64 = 0.7;
 
-/// Time before the end of the process by which answers should be complete.
+/// Answers should be complete this long before the process ends.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(500);
 
-/// Tokens of a request from which its beginning and end are told to other daemons at once. What is
-/// smaller, as a plain service's requests are, goes with the next heartbeat.
+/// Size of a request, in tokens, from which its start and end are reported to other daemons at once.
+/// Smaller requests, such as those of plain services, are reported with the next heartbeat.
 const REPORTED_TOKENS: u32 = 100;
 
-/// Daemons of a region that a caller is told of though this one does not hear them: as many as an answer
-/// may name.
+/// Number of daemons in a region that are named to a caller from the roster, without this daemon having a
+/// heartbeat from them. An answer can name no more than this.
 const MAX_LISTED: usize = 64;
 
-/// What this daemon hears of the others. It is asked for when it is needed: heartbeats come many times as
-/// often as requests, and to add up what hundreds of daemons told of thousands of servers takes 0.5 ms.
+/// Access to what other daemons report.
+///
+/// Reports are pulled when they are needed: heartbeats arrive many times as often as requests, and adding
+/// up the reports of hundreds of daemons on thousands of servers takes 0.5 ms.
 pub trait PeerSource: Send + Sync {
-    /// What the others have running; `None` where nothing has come since it was last asked for.
+    /// Sums of what the other daemons report; `None` if nothing has arrived since the last call.
     fn peer_stats(&self, now: Instant) -> Option<PeerStats>;
-    /// What the daemons of the same cell that rank before this one have running at a server.
+    /// Load at a server from those daemons of the same cell that rank before this one.
     fn higher_ranked_load(&self, server: Tag, now: Instant) -> Load;
-    /// Asks other daemons for room for one request at one of these servers, which are in need. Says at
-    /// which one it was given.
+    /// Asks other daemons for quota for one request at one of these limited servers. Returns the server for
+    /// which quota was granted.
     fn borrow_quota(&self, wanted: Vec<LimitedServer>) -> BoxFuture<'_, Option<Tag>>;
 }
 
-/// A server at which room for a request is wanted.
+/// A server that limits its requests and at which quota for one request is wanted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitedServer {
-    /// The server.
+    /// Tag of the server.
     pub server: Tag,
-    /// How many daemons of the cell hold room there.
+    /// Number of daemons of the cell that hold quota there.
     pub holders: usize,
 }
 
-/// The state that all requests of one daemon share.
+/// State shared by all requests that one daemon handles.
 pub struct Gateway {
-    /// The configuration in force.
+    /// Configuration in force.
     pub in_force: InForce,
-    /// The way to backend servers.
+    /// Transport to backend servers.
     pub wire: Arc<dyn Wire>,
-    /// Counters.
+    /// Metrics of this daemon's gateway.
     pub metrics: GatewayMetrics,
     /// Hall of this daemon.
     pub hall: String,
-    /// Which hall is in which region.
+    /// Region of each hall.
     pub regions: Regions,
     revocation_delay: Mutex<Option<Duration>>,
-    /// What a cold server may get, and this daemon's place among those that share it.
+    /// How many requests a cold server may get, and this daemon's rank among the daemons that share them.
     pub(super) cold: Mutex<(ColdBounds, Rank)>,
     pub(super) placement_policy: Box<dyn PlacementPolicy>,
     peer_source: OnceLock<Weak<dyn PeerSource>>,
@@ -94,35 +97,36 @@
     budget: Mutex<SharedRetryBudget>,
     quarantine: Mutex<Quarantine>,
     pub(super) rollouts: Mutex<Rollouts>,
-    /// Tells that a roll-out was ordered or has come further.
+    /// Notified when a roll-out is ordered or advances.
     pub(super) rollout_changed: Notify,
     exposure: Mutex<f64>,
-    /// Room at servers in need that was promised, by service.
+    /// Quota at limited servers that was promised to callers who come back, by service.
     promises: Mutex<HashMap<Arc<str>, Promises>>,
-    /// Whether loads in other halls are told late, in sums.
+    /// Whether the fleet is divided into cells, so that loads in other halls arrive late and as sums.
     pub(super) divided: AtomicBool,
-    /// Share of all daemons that are of this hall and tell their loads late, in sums.
+    /// Fraction of all daemons that are in other cells of this hall and whose loads arrive late and as
+    /// sums.
     pub(super) delayed_share: Mutex<f64>,
     /// When the process ends, once a planned stop has begun.
     shutdown_deadline: Mutex<Option<Instant>>,
-    /// Counts what other daemons should hear at once.
+    /// Counts changes that other daemons should learn of at once.
     urgent_changes: watch::Sender<u64>,
-    /// Counts changes of this daemon's copy of the store.
+    /// Counts changes to this daemon's copy of the store.
     copy_changes: watch::Sender<u64>,
-    /// How often the store has come back from an older copy of itself, as far as known.
+    /// Number of times that the store has been restored from an older copy of itself, as far as known.
     era: watch::Sender<u64>,
-    /// Counts changes of what this daemon has running.
+    /// Counts changes to what this daemon has running.
     load_changes: watch::Sender<u64>,
-    /// Tells that work went to a server.
+    /// Notified when a request is sent to a server.
     pub(super) work_started: Notify,
-    /// Tells that a request may be kept back from now on.
+    /// Notified when another request may have to be quarantined.
     pub(super) quarantine_changed: Notify,
-    /// Turns of this daemon's own runs that move away from a server.
+    /// Permits for moving this daemon's own runs away from a server.
     move_permits: Mutex<HashMap<ServerKey, Weak<Semaphore>>>,
 }
 
 impl Gateway {
-    /// A gateway that knows nothing yet.
+    /// Creates a gateway without configuration or known servers.
     pub fn new(
         hall: &str,
         regions: Regions,
@@ -161,7 +165,7 @@
         })
     }
 
-    /// Takes over bounds that the platform has changed.
+    /// Replaces the bounds after the platform has changed them.
     pub fn set_bounds(&self, bounds: Bounds) {
         *self.revocation_delay.lock().expect("no holder panics") = bounds.revocation_delay;
         self.cold.lock().expect("no holder panics").0 = bounds.cold;
@@ -169,22 +173,23 @@
         self.budget().set_bounds(bounds.budget);
     }
 
-    /// Part of a service's requests that servers of a new version may get before they are known to be sound.
+    /// Fraction of a service's requests that servers of a new version may get until the version is known to
+    /// be sound.
     pub(super) fn exposure(&self) -> f64 {
         *self.exposure.lock().expect("no holder panics")
     }
 
-    /// Sets whether the fleet is divided, so that loads in other halls are told late.
+    /// Sets whether the fleet is divided into cells, so that loads in other halls arrive late and as sums.
     pub fn set_divided(&self, divided: bool) {
         self.divided.store(divided, Ordering::Relaxed);
     }
 
-    /// Sets the share of all daemons that are of this hall and tell their loads late, in sums.
+    /// Sets the fraction of all daemons that are in other cells of this hall and whose loads arrive late.
     pub fn set_delayed_share(&self, share: f64) {
         *self.delayed_share.lock().expect("no holder panics") = share;
     }
 
-    /// Sets from where it hears of other daemons; only the first one counts.
+    /// Sets the source of other daemons' reports; calls after the first have no effect.
     pub fn set_peer_source(&self, source: Weak<dyn PeerSource>) {
         self.peer_source.get_or_init(|| source);
     }
@@ -193,26 +198,26 @@
         self.peer_source.get()?.upgrade()
     }
 
-    /// What the daemons of the same cell that rank before this one have running at a server.
+    /// Load at a server from those daemons of the same cell that rank before this one.
     pub(crate) fn higher_ranked_load(&self, server: ServerKey, now: Instant) -> Load {
         let tag = self.servers().get(server).map(Server::tag);
         let load = tag.and_then(|tag| Some(self.peer_source()?.higher_ranked_load(tag, now)));
         load.unwrap_or_default()
     }
 
-    /// Sets this daemon's place among those that send requests.
+    /// Sets this daemon's rank among the daemons that send requests to cold servers.
     pub fn set_rank(&self, rank: Rank) {
         self.cold.lock().expect("no holder panics").1 = rank;
     }
 
-    /// A planned stop has begun, and the process ends then.
+    /// Begins a planned stop: sets when the process ends, and lets other daemons know.
     pub fn set_shutdown_deadline(&self, end: Instant) {
         *self.shutdown_deadline.lock().expect("no holder panics") = Some(end);
         self.signal_urgent_change();
     }
 
-    /// Whether a request can be answered before the process ends: a stream that could outlast it is
-    /// for another daemon to begin.
+    /// Whether a request can be answered before the process ends. A stream that could run longer has to be
+    /// started by another daemon.
     pub fn can_finish(&self, call: &Call, now: Instant) -> bool {
         let deadline = *self.shutdown_deadline.lock().expect("no holder panics");
         deadline.is_none_or(|end| {
@@ -221,40 +226,40 @@
         })
     }
 
-    /// Something happened that other daemons should hear at once.
+    /// Signals a change that other daemons should learn of at once.
     pub fn signal_urgent_change(&self) {
         self.urgent_changes.send_modify(|count| *count += 1);
     }
 
-    /// What this daemon has running has changed.
+    /// Signals a change to what this daemon has running, if `load` is large enough to be reported at once.
     pub(super) fn signal_load_change(&self, load: Load) {
         if load.tokens >= REPORTED_TOKENS {
             self.load_changes.send_modify(|count| *count += 1);
         }
     }
 
-    /// Something changed in this daemon's copy of the store.
+    /// Signals a change to this daemon's copy of the store.
     pub(super) fn signal_copy_change(&self) {
         self.copy_changes.send_modify(|count| *count += 1);
     }
 
-    /// The store has come back from an older copy of itself so often.
+    /// Sets the store's era: the number of times that it has been restored from an older copy of itself.
     pub(super) fn set_era(&self, era: u64) {
         self.metrics.store_returns.inc();
         self.era.send_replace(era);
     }
 
-    /// Tells when the store comes back from an older copy of itself.
+    /// Subscribes to new eras of the store.
     pub fn era_changes(&self) -> watch::Receiver<u64> {
         self.era.subscribe()
     }
 
-    /// Tells of changes of this daemon's copy of the store.
+    /// Subscribes to changes to this daemon's copy of the store.
     pub fn copy_changes(&self) -> watch::Receiver<u64> {
         self.copy_changes.subscribe()
     }
 
-    /// Time between two requests at one server of the busiest service, as far as known.
+    /// Seconds between two requests at one server of the busiest service, as far as known.
     pub(super) fn request_gap(&self, now: Instant) -> f64 {
         let rates = self.budget().rates(now);
         let servers = self.servers();
@@ -265,17 +270,18 @@
         gaps.fold(f64::INFINITY, f64::min)
     }
 
-    /// Tells of changes of what this daemon has running that others should hear soon.
+    /// Subscribes to changes to what this daemon has running that are to be reported without waiting for
+    /// the next heartbeat.
     pub fn load_changes(&self) -> watch::Receiver<u64> {
         self.load_changes.subscribe()
     }
 
-    /// Tells of what other daemons should hear at once.
+    /// Subscribes to changes that other daemons should learn of at once.
     pub fn urgent_changes(&self) -> watch::Receiver<u64> {
         self.urgent_changes.subscribe()
     }
 
-    /// The turn of this daemon's own runs that move away from a server: one at a time.
+    /// The permit to move one of this daemon's runs away from a server. Runs move one at a time per server.
     pub(crate) fn move_permit(&self, server: ServerKey) -> Arc<Semaphore> {
         let mut turns = self.move_permits.lock().expect("no holder panics");
         turns.retain(|_, turn| turn.strong_count() > 0);
@@ -287,24 +293,24 @@
         turn
     }
 
-    /// The backend servers.
+    /// Locks the backend servers.
     pub fn servers(&self) -> MutexGuard<'_, Servers> {
         self.servers.lock().expect("no holder panics")
     }
 
-    /// The id of a server, for logs; `None` once it has gone.
+    /// Id of a server, for logs; `None` once the server is gone.
     pub(crate) fn server_id(&self, key: ServerKey) -> Option<Arc<str>> {
         self.servers().get(key).map(|server| server.record.id.clone())
     }
 
-    /// Notes how old this daemon's knowledge of the store is as it sends a request.
+    /// Records in the metrics how old the copy of the store is as a request is sent, and returns that age.
     pub(crate) fn record_store_age(&self, now: Instant) -> Option<Duration> {
         let age = self.in_force.age(now)?;
         self.metrics.knowledge_seconds.observe(age.as_secs_f64());
         Some(age)
     }
 
-    /// Whether the configuration is known to be new enough for requests with a key.
+    /// Whether the copy of the store is recent enough to accept keys by it.
     pub fn is_fresh(&self, now: Instant) -> bool {
         let Some(age) = self.in_force.age(now) else {
             return false;
@@ -313,7 +319,8 @@
         bound.is_none_or(|bound| age <= bound.mul_f64(FRESH_FRACTION))
     }
 
-    /// Whether the caller of a request still holds its key, as far as may be relied on now.
+    /// Whether the caller's key is still valid according to a copy of the store that is recent enough.
+    /// Requests without a key are always authorized.
     pub fn is_authorized(&self, call: &Call, now: Instant) -> bool {
         let Some(credential) = &call.credential else {
             return true;
@@ -325,16 +332,18 @@
         self.is_fresh(now) && holder.is_some_and(|w| w.name == credential.workspace)
     }
 
-    /// The service of a request's route, drawn by weight.
+    /// Draws a service of the request's route by weight.
     pub fn draw_service(&self, call: &Call) -> Option<Arc<Service>> {
         let name = call.route.draw(&mut rand::rng())?;
         self.in_force.get()?.table.service(name).cloned()
     }
 
-    /// The addresses that a caller in `region` is told of for a host. Where the host's routes name regions,
-    /// those are daemons that stand there or in the caller's own: of `found`, or else of those `further` away
-    /// that are heard, or else of those that `roster` lists, which may have died lately; and any of `found`
-    /// where none is known.
+    /// Addresses to give to a caller in `region` for a host.
+    ///
+    /// If the host's routes restrict regions, only daemons in an allowed region or in the caller's own
+    /// qualify. They are taken from the first of these that has any: `found`, the more distant daemons in
+    /// `further` from which heartbeats arrive, and the `roster`, whose daemons may have died lately. If
+    /// none qualifies, all of `found` are returned.
     pub fn entries_for(
         &self,
         found: Vec<SocketAddr>,
@@ -364,13 +373,13 @@
         nearest.unwrap_or(found)
     }
 
-    /// Where a request may go: the regions of its route and of its workspace both bind.
+    /// Regions that a request may go to: both its route and its workspace restrict them.
     pub(super) fn allowed<'a>(&'a self, call: &'a Call) -> AllowedRegions<'a> {
         let workspace = call.credential.as_ref().map(|credential| &credential.homes);
         AllowedRegions { regions: &self.regions, route: &call.route.allowed_regions, workspace }
     }
 
-    /// Notes how an exchange with a server went; other daemons hear of a failure soon.
+    /// Records how an exchange with a server went. A failure is reported to other daemons soon.
     pub(crate) fn record_result(&self, server: ServerKey, failed: bool) {
         self.servers().record_outcome(server, failed, time::now());
         if failed {
@@ -378,27 +387,27 @@
         }
     }
 
-    /// Requests that end servers.
+    /// Locks the quarantine of requests that crash servers.
     pub fn quarantine(&self) -> MutexGuard<'_, Quarantine> {
         self.quarantine.lock().expect("no holder panics")
     }
 
-    /// Room at servers in need that was promised, by service.
+    /// Locks the promised quota at limited servers, by service.
     pub(super) fn promises(&self) -> MutexGuard<'_, HashMap<Arc<str>, Promises>> {
         self.promises.lock().expect("no holder panics")
     }
 
-    /// Notes a request for a service.
+    /// Counts a request for a service.
     pub fn count_request(&self, service: &Arc<str>, now: Instant) {
         self.budget().record_request(service, now);
     }
 
-    /// Whether the shared budget allows one more repeat.
+    /// Whether the shared budget allows one more retry.
     pub fn allows_retry(&self, service: &Arc<str>, kind: RetryKind, now: Instant) -> bool {
         self.budget().allows(service, kind, now)
     }
 
-    /// Spends one repeat, if the shared budget allows it.
+    /// Spends one retry if the shared budget allows it.
     pub fn spend_retry(&self, service: &Arc<str>, kind: RetryKind, now: Instant) -> bool {
         self.budget().spend(service, kind, now)
     }
@@ -408,7 +417,7 @@
         self.budget().spent(now)
     }
 
-    /// Sets what is known of the daemons that share the budget.
+    /// Updates what is known of the other daemons that share the budget.
     pub fn set_others(&self, others: Others) {
         self.budget().set_others(others);
     }
--- a/src/gateway/fingerprint.rs
+++ b/src/gateway/fingerprint.rs
@@ -1,28 +1,30 @@
-//! What makes a request known again beyond one attempt of its caller, at any daemon and after any restart.
+//! Fingerprints that identify a request across its caller's attempts, at any daemon and after any restart.
 
 use crate::gateway::request::Call;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// A request by its path, caller and body; whatever else an attempt carries may differ. The caller is its
-/// workspace. Requests without a key have no caller that can be told from others.
+/// Identifies a request by its path, caller and body; everything else may differ between attempts. The
+/// caller is identified by its workspace; requests without a key have no distinguishable caller.
 ///
-/// Half a SHA-256: whoever looks for another body with the fingerprint of a given request has to try 2^64.
+/// Half of a SHA-256 digest: finding another body with the fingerprint of a given request takes 2^64
+/// attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(u64);
 
 impl Fingerprint {
-    /// The fingerprint of a request. Takes about 1 µs, and 0.8 ns for each byte of the body (`benches/fleet.rs`).
+    /// The fingerprint of a request. Computing it takes about 1 µs, plus 0.8 ns per byte of the body
+    /// (`benches/fleet.rs`).
     pub fn of(call: &Call) -> Fingerprint {
         let caller = call.credential.as_ref().map_or("", |credential| &credential.workspace);
         Fingerprint::new(&call.path, caller, &call.body)
     }
 
-    /// The fingerprint of a request with these parts.
+    /// The fingerprint of a request with this path, caller and body.
     pub fn new(path: &str, caller: &str, body: &[u8]) -> Fingerprint {
         let mut hasher = Sha256::new();
-        // With their lengths, so that no part can pass for the end of the one before.
+        // Each part is preceded by its length, so that bytes can't shift from one part to the next.
         for part in [path.as_bytes(), caller.as_bytes(), body] {
             hasher.update((part.len() as u64).to_be_bytes());
             hasher.update(part);
@@ -33,7 +35,7 @@
         Fingerprint(u64::from_be_bytes(half))
     }
 
-    /// Reads a fingerprint as it is displayed.
+    /// Parses a fingerprint in its display format.
     pub fn parse(text: &str) -> Option<Fingerprint> {
         let is_hex = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
         is_hex.then(|| u64::from_str_radix(text, 16).ok()).flatten().map(Fingerprint)
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -1,4 +1,5 @@
-//! Counters and latency histograms of the gateway, in the text format of `prometheus`.
+//! Counters and latency histograms of the gateway, in the Prometheus text format. The fields are named
+//! after their metrics.
 
 use crate::metrics::{counter, counters, gauge, register, text};
 use crate::peer::Traffic;
@@ -6,12 +7,12 @@
     Histogram, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge, Registry,
 };
 
-/// Bounds of the buckets, in seconds: from a plain service's fast answer to a long generation.
+/// Bucket bounds for latencies, in seconds: from the fast answer of a plain service to a long generation.
 const LATENCY_BUCKETS: [f64; 14] =
     [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 1.0, 1.8, 3.0, 6.0, 15.0, 40.0];
 
-/// Bounds of the buckets of ages of knowledge, in seconds: from a peer's word of just now to past every
-/// bound that the users set.
+/// Bucket bounds for the age of the copy of the store, in seconds: from a report that a peer has just sent
+/// to beyond every bound that users set.
 const AGE_BUCKETS: [f64; 10] = [0.1, 0.2, 0.4, 0.7, 1.0, 1.5, 2.0, 3.0, 4.0, 6.0];
 
 /// All metrics of one daemon's gateway.
@@ -19,43 +20,43 @@
     registry: Registry,
     /// Requests by route kind and outcome.
     pub requests: IntCounterVec,
-    /// Time from a request's head to its answer's, by route kind.
+    /// Time from receiving a request's head to sending the answer's, by route kind.
     pub answer_seconds: HistogramVec,
-    /// Time between two events of a stream.
+    /// Time between two events of a stream, by route kind.
     pub pause_seconds: HistogramVec,
-    /// Sendings to backend servers that did not end in an answer for the caller, by reason.
+    /// Requests sent to backend servers that gave no answer for the caller, by reason.
     pub failed_sendings: IntCounterVec,
-    /// Age of this daemon's knowledge of the store at each sending to a backend server.
+    /// Age of this daemon's copy of the store whenever a request is sent to a backend server.
     pub knowledge_seconds: Histogram,
     /// Moves of runs, by outcome.
     pub moves: IntCounterVec,
     /// Streams that were cut after they had begun.
     pub cut_streams: IntCounter,
-    /// Servers that ended under a run of this daemon that had just begun.
+    /// Servers that crashed while one of this daemon's runs had just begun there.
     pub ended_servers: IntCounter,
-    /// Requests that are kept from servers.
+    /// Number of quarantined requests.
     pub quarantined: IntGauge,
-    /// Servers that name a limit.
+    /// Number of servers that limit their requests.
     pub limited_servers: IntGauge,
-    /// Requests sent to such servers.
+    /// Requests sent to servers that limit them.
     pub limited_sendings: IntCounter,
-    /// Servers that rest.
+    /// Number of servers that are backing off.
     pub resting_servers: IntGauge,
-    /// Requests sent to servers that had said that they leave or rest, by what they had said.
+    /// Requests sent to servers that had announced that they leave or back off, by announcement.
     pub unheeded_sendings: IntCounterVec,
-    /// States of roll-outs that came into force, by state.
+    /// Roll-out states that came into force, by state.
     pub rollouts: IntCounterVec,
     /// Reads of the store, by outcome.
     pub store_reads: IntCounterVec,
-    /// The store's revision of the configuration in force.
+    /// Store revision of the configuration in force.
     pub config_revision: IntGauge,
-    /// How often the store has come back from an older copy of itself.
+    /// Number of times that the store has been restored from an older copy of itself.
     pub store_era: IntGauge,
-    /// How often this daemon has seen that.
+    /// Number of such restores that this daemon has seen.
     pub store_returns: IntCounter,
-    /// Peers heard lately.
+    /// Peers from which a heartbeat arrived lately.
     pub peers: IntGauge,
-    /// Messages and bytes between daemons.
+    /// Messages and bytes sent between daemons.
     pub traffic: Traffic,
 }
 
@@ -188,7 +189,7 @@
 }
 
 impl GatewayMetrics {
-    /// The text for a scrape.
+    /// Renders all metrics for a scrape.
     pub fn render(&self) -> String {
         text(&self.registry)
     }
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -1,61 +1,60 @@
-//! Choosing a backend server for a request, or for a run that must leave its server.
+//! Chooses a backend server for a new request, or for a run that must leave its server.
 
 use crate::gateway::servers::{Load, Server, ServerKey};
 use crate::gateway::table::Engine;
 use rand::{Rng, RngExt};
 use std::time::Instant;
 
-/// Cost of a server in another hall for a request, as a share of a server's capacity: enough to stay
-/// near while loads are alike, not enough to run into a busier server.
+/// Added cost of a server in another hall, as a fraction of a server's capacity: enough to stay in the hall
+/// while loads are similar, too little to prefer a server that is busier than a remote one.
 pub const REMOTE_HALL_COST: f64 = 0.04;
-/// The same where loads in other halls are told late: many daemons see the same server free there
-/// and fill it at once. About the cost of two prompts that are still to be read.
+/// The same where loads in other halls are reported late: many daemons see the same remote server free and
+/// fill it at once. About the cost of two prompts that are still to be read.
 pub const STALE_REMOTE_HALL_COST: f64 = 0.6;
-/// The same for a run that is copied there: copies between halls take twice as long, and a server
-/// that leaves has little time; but a server that gets all runs of another one can't be emptied in
-/// its turn.
+/// The same for a run that is copied to another hall. Such copies take twice as long, and a server that
+/// leaves has little time; but a single server in the hall that gets all runs of a leaving one could not be
+/// emptied in its turn.
 pub const REMOTE_HALL_COPY_COST: f64 = 0.25;
-/// Cost of a server all of whose recent exchanges failed.
+/// Cost of a server whose recent exchanges all failed.
 const FAILURE_COST: f64 = 3.0;
-/// Runs that weigh as much as a full memory: decoding slows with the batch before memory is short.
+/// Number of runs that cost as much as a full memory: decoding slows with the batch before memory runs out.
 const BATCH_SCALE: f64 = 40.0;
-/// Prompt tokens still to be read that weigh as much as a full memory: the time to read them is the
-/// time that the newcomer's first event waits, about 0.5 s.
+/// Number of unread prompt tokens that cost as much as a full memory. Reading them takes about 0.5 s, by
+/// which the new request's first event is delayed.
 const READ_SCALE: f64 = 7_000.0;
-/// Tokens on their way to a server that cost a run which is copied there as much as a full memory:
-/// the copy of one run in the same hall waits as long for another one as it would take longer to
-/// another hall.
+/// Number of tokens being copied to a server that cost a further copied run as much as a full memory.
+/// Waiting for one run's copy in the same hall takes as long as the extra time of a copy to another hall.
 const ARRIVING_SCALE: f64 = 14_000.0;
-/// Requests are sent to one drawn from the servers whose costs differ by less than this from the
-/// least, so that daemons don't herd.
+/// A request goes to a random one of the servers whose costs exceed the lowest by at most this, so that
+/// daemons don't all choose the same server.
 pub const COST_TOLERANCE: f64 = 0.03;
 /// The same for runs that are copied.
 pub const COPY_COST_TOLERANCE: f64 = 0.1;
-/// Cost up to which servers are alike for a run that is copied. Several servers leave at the same
-/// moment, and many daemons choose at once: a link that two copies share costs a run that has 1.5 s
-/// more than a fuller memory.
+/// Lower bound on a server's utilization when its cost for a copied run is computed, so that all servers
+/// below it count as equally free. Several servers leave at the same moment and many daemons choose at
+/// once: sharing a link with another copy costs a run that has 1.5 s left more than a fuller memory does.
 const COPY_COST_FLOOR: f64 = 0.8;
 
-/// What is to be placed.
+/// A request or a copied run that needs a server.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementRequest<'a> {
-    /// The hall that is preferred.
+    /// Preferred hall.
     pub hall: &'a str,
-    /// Cost of another hall, as a share of a server's capacity.
+    /// Added cost of a server in another hall, as a fraction of a server's capacity.
     pub remote_cost: f64,
-    /// Difference in cost up to which servers are alike.
+    /// Difference in cost up to which servers count as equal.
     pub cost_tolerance: f64,
-    /// Requests like this one that other daemons are expected to have sent since they told what they have
-    /// running.
+    /// Expected number of similar requests that other daemons have sent since they last reported their
+    /// loads.
     pub unreported_requests: f64,
-    /// What it is expected to take.
+    /// Load that the request is expected to cause.
     pub load: Load,
-    /// Present for model engines.
+    /// The engine's properties; `None` for services other than model engines.
     pub engine: Option<&'a Engine>,
 }
 
 impl PlacementRequest<'_> {
-    /// Whether a run is to be copied, rather than a request sent.
+    /// Whether this is a run that is copied, rather than a new request.
     fn is_copy(&self) -> bool {
         self.load.incoming_copies > 0
     }
@@ -64,19 +63,19 @@
 /// A server that may be chosen.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'a> {
-    /// Its key.
+    /// Key of the server.
     pub key: ServerKey,
-    /// What is known of it.
+    /// State of the server.
     pub server: &'a Server,
-    /// What runs there.
+    /// Current load of the server.
     pub load: Load,
 }
 
-/// A way to choose.
+/// A policy that chooses one of several servers.
 pub trait PlacementPolicy: Send + Sync {
-    /// The name for logs and reports.
+    /// Name for logs and reports.
     fn name(&self) -> &'static str;
-    /// One of the candidates; `None` where there is none.
+    /// Chooses one of the candidates; `None` if there are none.
     fn choose(
         &self,
         candidates: &[Candidate<'_>],
@@ -86,7 +85,7 @@
     ) -> Option<ServerKey>;
 }
 
-/// The least expected use of memory and batch, near servers first where they are alike.
+/// Chooses the lowest expected use of memory and batch; among similar servers, one in the preferred hall.
 #[derive(Debug, Default)]
 pub struct Headroom;
 
@@ -111,10 +110,11 @@
     }
 }
 
-/// One drawn where `unreported` more has been placed than the costs tell, by daemons that knew as little as
-/// this one and went where it seemed least. They have raised the least costs to one level: a server is as
-/// likely to be the right one as its cost lies below it (the "basic load interpretation" of M. Dahlin,
-/// Interpreting Stale Load Information, ICDCS 1999). To go to the least would send all of them to one server.
+/// Draws a candidate when `unreported` more load has been placed than the costs show, by daemons that knew
+/// as little as this one and chose the servers that seemed cheapest. They have raised the lowest costs to
+/// one common level, so a server is drawn with a probability proportional to how far its cost lies below
+/// that level (the "basic load interpretation" of M. Dahlin, Interpreting Stale Load Information, ICDCS
+/// 1999). Always choosing the cheapest would send all requests to one server.
 fn draw_weighted(
     candidates: &[Candidate<'_>],
     cost: impl Fn(&Candidate<'_>) -> f64,
@@ -138,7 +138,8 @@
     drawn.or(below.last()).map(|(_, key)| *key)
 }
 
-/// The level to which `more` raises the least of some costs, which rise; `None` where there are none.
+/// The level up to which the lowest of some ascending costs are raised by `more` in total; `None` if there
+/// are no costs.
 fn water_level(costs: impl Iterator<Item = f64>, more: f64) -> Option<f64> {
     let (mut sum, mut count, mut level) = (more, 0.0, None);
     for cost in costs {
@@ -152,8 +153,8 @@
     level
 }
 
-/// One drawn from the candidates whose costs differ by up to `alike` from the least; `None` where
-/// there is no candidate.
+/// Draws one of the candidates whose costs exceed the lowest by at most `tolerance`; `None` if there are no
+/// candidates.
 pub(crate) fn draw_cheapest(
     candidates: &[Candidate<'_>],
     cost: impl Fn(&Candidate<'_>) -> f64,
@@ -167,14 +168,14 @@
     Some(cheapest[rng.random_range(0..cheapest.len())])
 }
 
-/// What a load takes of an engine, as a share of a full one.
+/// Fraction of an engine's capacity that a load uses.
 fn utilization(load: Load, engine: &Engine) -> f64 {
     f64::from(load.tokens) / f64::from(engine.memory.max(1))
         + f64::from(load.runs) / BATCH_SCALE
         + f64::from(load.unread_prompt) / READ_SCALE
 }
 
-/// Cost of a server for a newcomer, as a share of a full one.
+/// Cost of placing the request at a server, as a fraction of a full server.
 fn cost(candidate: &Candidate<'_>, request: &PlacementRequest<'_>, now: Instant) -> f64 {
     let (server, load) = (candidate.server, candidate.load);
     let used = match request.engine {
--- a/src/gateway/policies.rs
+++ b/src/gateway/policies.rs
@@ -1,4 +1,4 @@
-//! The simple ways to choose a server, beside [`Headroom`], to compare with it on live traffic.
+//! Simple placement policies, to compare with [`Headroom`] on live traffic.
 
 use crate::gateway::place::{
     Candidate, Headroom, PlacementPolicy, PlacementRequest, draw_cheapest,
@@ -8,10 +8,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Instant;
 
-/// Names of all ways to choose, as they are given on the command line.
+/// Names of all policies, as given on the command line.
 pub const NAMES: [&str; 4] = ["headroom", "least-load", "two-choices", "round-robin"];
 
-/// A way to choose by its name; `None` where there is none of that name.
+/// Returns the policy with a name; `None` if there is none.
 pub fn by_name(name: &str) -> Option<Box<dyn PlacementPolicy>> {
     match name {
         "headroom" => Some(Box::new(Headroom)),
@@ -22,7 +22,8 @@
     }
 }
 
-/// The server with the fewest requests, as far as known; one is drawn where several have as few.
+/// Chooses the server with the fewest requests, as far as known, and a random one of several with equally
+/// few.
 #[derive(Debug, Default)]
 pub struct LeastLoad;
 
@@ -42,7 +43,7 @@
     }
 }
 
-/// Of two servers drawn, the one with fewer requests.
+/// Draws two servers and chooses the one with fewer requests.
 #[derive(Debug, Default)]
 pub struct TwoChoices;
 
@@ -67,7 +68,7 @@
     }
 }
 
-/// Each server in its turn, whatever it has.
+/// Chooses the servers in turn, whatever their load.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     next: AtomicUsize,
--- a/src/gateway/slot.rs
+++ b/src/gateway/slot.rs
@@ -1,4 +1,4 @@
-//! Choosing a backend server for a request, and the slot that the request has there.
+//! Reserves a slot at a backend server for a request.
 
 use crate::gateway::admission::{self, AdmissionClass, Bound};
 use crate::gateway::budget::RetryKind;
@@ -20,36 +20,36 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Time after which a load of another cell of the hall is stats, on average: a heartbeat of its daemon, the
-/// relays' and that of this cell's relay, half of each on average, and their ways.
+/// Average delay until the load of another cell in this hall is reported here: half of each of three
+/// heartbeat intervals (its daemon's, the relays' and that of this cell's relay), and the network delays.
 const REPORT_DELAY: Duration = Duration::from_millis(70);
 
-/// Where a request runs.
+/// The server that a request runs on.
 #[derive(Debug, Clone)]
 pub struct Placement {
-    /// The server.
+    /// Key of the server.
     pub key: ServerKey,
-    /// Where it is.
+    /// Address and id of the server.
     pub destination: Destination,
-    /// The tag of its start.
+    /// Tag of the server, which differs after each of its starts.
     pub tag: Tag,
-    /// Its hall.
+    /// Hall of the server.
     pub hall: String,
-    /// What the request takes there.
+    /// Load that the request puts on the server.
     pub load: Load,
 }
 
-/// Time after which a caller that was refused may come back, where nothing better is known.
+/// Time after which a refused caller may come back, unless a better estimate is known.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Why a request gets no slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NoSlot {
-    /// The reason, for logs and answers.
+    /// Reason for logs and answers.
     pub reason: &'static str,
-    /// When its caller is to come back.
+    /// Time after which the caller should come back.
     pub retry_after: Duration,
-    /// When room is to be kept for it, if it is told so.
+    /// When quota is to be reserved for the caller, if it is told when to come back.
     pub due: Option<Instant>,
 }
 
@@ -59,35 +59,36 @@
     }
 }
 
-/// A backend server that was chosen for a request; counted as loaded until it is dropped.
+/// A reservation at a backend server for one request. The request counts in the server's load until the
+/// slot is dropped.
 pub struct Slot {
     gateway: Arc<Gateway>,
-    /// Where it is.
+    /// Where the request runs.
     pub place: Placement,
-    /// Tells when the server is about to leave.
+    /// Becomes true when the server is about to leave.
     pub notice: watch::Receiver<bool>,
-    /// Age of the copy of the store when the request was sent there.
+    /// Age of the copy of the store when the request was sent to the server.
     pub store_age: Option<Duration>,
-    /// Tokens of prompts that waited there before this request.
+    /// Prompt tokens that waited to be read at the server before this request.
     pub waiting_tokens: u32,
-    /// What its outcome counts for.
+    /// The roll-out sample that this request's result counts for, if any.
     pub rollout_sample: Option<RolloutSample>,
 }
 
-/// A request that counts in a roll-out.
+/// A request whose result counts in a roll-out.
 #[derive(Debug, Clone, Copy)]
 pub struct RolloutSample {
     stratum: Stratum,
     sent: Instant,
-    /// A time below which nobody would notice how long an answer takes.
+    /// Response times below this count as equal to it, since nobody would notice the difference.
     time_floor: Duration,
 }
 
-/// The same as a part of the route's aim.
+/// `time_floor` as a fraction of the route's SLO.
 const UNNOTICEABLE_FRACTION: f64 = 0.05;
 
 impl Slot {
-    /// The server.
+    /// Key of the server.
     pub fn key(&self) -> ServerKey {
         self.place.key
     }
@@ -97,27 +98,27 @@
         &self.place.destination.id
     }
 
-    /// Age of the copy of the store when the request was sent there, in milliseconds, for logs.
+    /// Age of the copy of the store when the request was sent to the server, in milliseconds, for logs.
     pub fn store_age_ms(&self) -> Option<u64> {
         Some(self.store_age?.as_millis() as u64)
     }
 
-    /// Notes that the server has read the prompt.
+    /// Records that the server has read the prompt.
     pub fn record_prompt_read(&mut self) {
         let tokens = std::mem::take(&mut self.place.load.unread_prompt);
         self.gateway.servers().note_prompt_read(self.key(), tokens);
         self.gateway.signal_load_change(self.place.load);
     }
 
-    /// Notes that the memory of the run has been copied to the server.
+    /// Records that the run's memory has been copied to the server.
     pub fn record_copy_done(&mut self) {
         let tokens = std::mem::take(&mut self.place.load.incoming_copies);
         self.gateway.servers().note_copy_arrived(self.key(), tokens);
         self.gateway.signal_load_change(self.place.load);
     }
 
-    /// Notes that no connection to the server came about. Other daemons hear of it at once where it
-    /// was refused: they would be as well.
+    /// Records that connecting to the server failed. A refused connection is reported to other daemons at
+    /// once, as their connections would be refused too.
     pub fn record_connect_failure(&self, refused: bool) {
         self.gateway.servers().note_unreachable(self.key(), refused, time::now());
         if refused {
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Notes how the exchange went.
+    /// Records how the exchange went, for the server and for the roll-out.
     pub fn record_result(&self, failed: bool) {
         self.gateway.record_result(self.key(), failed);
         if let Some(sample) = self.rollout_sample {
@@ -133,7 +134,8 @@
         }
     }
 
-    /// Notes that the server turned the request away, which tells nothing of its version.
+    /// Records that the server refused the request. This says nothing about the server's version, so it
+    /// doesn't count in a roll-out.
     pub fn record_refusal(&self) {
         self.gateway.record_result(self.key(), true);
     }
@@ -144,33 +146,33 @@
         self.gateway.servers().remove_load(self.key(), self.place.load);
         self.gateway.signal_load_change(self.place.load);
         if *self.notice.borrow() {
-            // Other daemons wait for their turn to move what they have there.
+            // Other daemons wait for their turn to move their own runs away from this server.
             self.gateway.signal_urgent_change();
         }
     }
 }
 
-/// On which terms a request gets a slot.
+/// What decides whether a crowded server admits a request.
 #[derive(Debug, Clone, Copy)]
 struct AdmissionTerms {
-    /// How it stands to those that wait.
+    /// Whether the request is new, came back after a refusal, or has begun.
     admission_class: AdmissionClass,
-    /// What may wait and run at its server.
+    /// Most that may wait and run at the server for the request to be admitted.
     bound: Bound,
 }
 
-/// Which servers a request may go to.
+/// Restricts the servers that a request may go to.
 #[derive(Debug, Clone, Copy)]
 struct ServerFilter<'a> {
-    /// Those that were tried.
+    /// Servers that are excluded, because they were tried or have refused.
     excluded: &'a [ServerKey],
-    /// Those that a roll-out gives it; `None` where all are alike.
+    /// The roll-out's selection for the request; `None` if no roll-out distinguishes between servers.
     pick: Option<&'a Pick>,
 }
 
 impl Gateway {
-    /// Whether a server bears one more request of this daemon: it is not cold, or the daemon's share of
-    /// what it may get is not used up.
+    /// Whether a server is warm, or this daemon's share of the requests that a cold server may get isn't
+    /// used up.
     fn within_cold_share(&self, service: &Service, server: &Server, now: Instant) -> bool {
         if !server.is_cold(service.warm_up, now) {
             return true;
@@ -179,8 +181,9 @@
         server.recent_cold_requests(now) < rank.share(server.tag(), service.warm_up, bounds)
     }
 
-    /// Whether a server may take a request, whatever limit it names: it is not filter those that were tried, the
-    /// request may go to its hall, it doesn't rest, and it bears one more.
+    /// Whether a server may take a request, apart from a limit that the server names. It must not be
+    /// excluded or backing off, its hall must be allowed for the request, and a cold server must be within
+    /// this daemon's share.
     pub(super) fn may_take<'a>(
         &'a self,
         service: &'a Service,
@@ -197,7 +200,8 @@
         }
     }
 
-    /// Requests for a service that daemons of this hall are expected to have sent since they told.
+    /// Expected number of requests for a service that other cells of this hall have sent since their last
+    /// report.
     fn unreported_requests(&self, service: &Arc<str>, now: Instant) -> f64 {
         let share = *self.delayed_share.lock().expect("no holder panics");
         if share == 0.0 {
@@ -206,7 +210,7 @@
         share * self.budget().rate(service, now) * REPORT_DELAY.as_secs_f64()
     }
 
-    /// Takes in what came from other daemons since the last time.
+    /// Merges what other daemons have reported since the last call.
     pub(super) fn merge_peer_stats(&self, now: Instant) {
         if let Some(stats) = self.peer_source().and_then(|source| source.peer_stats(now)) {
             self.servers().set_peer_stats(&stats);
@@ -218,7 +222,7 @@
         }
     }
 
-    /// Takes a slot for a request at a server of `service`, not one of `tried`.
+    /// Reserves a slot for a request at a server of `service` that isn't one of `tried`.
     pub fn slot(
         self: &Arc<Self>,
         service: &Service,
@@ -257,7 +261,7 @@
         let filter = ServerFilter { excluded: tried, pick: pick.as_ref() };
         let slot = self.choose_slot(service, &request, call, terms, filter, now);
         match pick {
-            // The old servers have room where the few of the new version have none.
+            // The many old servers may have capacity where the few of the new version have none.
             Some(pick) if slot.is_err() && pick.arm == Arm::Candidate => {
                 let filter = ServerFilter { excluded: tried, pick: Some(&pick.baseline()) };
                 self.choose_slot(service, &request, call, terms, filter, now)
@@ -266,7 +270,7 @@
         }
     }
 
-    /// Takes a slot for a request that was sent before, if the shared budget allows another sending.
+    /// Reserves a slot for a request that was sent before, if the shared budget allows a retry.
     pub fn slot_for_retry(
         self: &Arc<Self>,
         service: &Service,
@@ -283,19 +287,20 @@
         Ok(slot)
     }
 
-    /// Notes how a request went that counts in a roll-out.
+    /// Records the result of a request that counts in a roll-out.
     pub(crate) fn record_rollout_sample(&self, sample: RolloutSample, failed: bool) {
         let time = (!failed).then(|| time::since(sample.sent).max(sample.time_floor));
         self.rollouts().note(sample.stratum, time);
     }
 
-    /// The shortest aim of a service's routes.
+    /// The strictest SLO of the routes to a service.
     fn latency_slo(&self, service: &Service, call: &Call) -> Duration {
         let declared = self.in_force.get();
         declared.and_then(|d| d.table.latency_slo(&service.name)).unwrap_or(call.route.latency_slo)
     }
 
-    /// Takes a slot for a run of `call` that is copied from `source`, not at one of `refused`.
+    /// Reserves a slot for a run of `call` that is copied from `source`, at a server that isn't one of
+    /// `refused`.
     pub fn slot_for_copy(
         self: &Arc<Self>,
         service: &Service,
@@ -342,7 +347,7 @@
         });
         let may_take = |key, server: &Server| may_take(key, server) && has_quota(server, may_use);
         let candidates = candidates(&servers, service, request.hall, may_take, now);
-        // What is unseen lies at all servers, drawn or not.
+        // Unreported requests are spread over all servers, whether they are in the sample or not.
         let all = servers.count(&service.name);
         let drawn = if all > MAX_EXAMINED { candidates.len() as f64 / all as f64 } else { 1.0 };
         let request = &PlacementRequest {
@@ -396,13 +401,15 @@
     }
 }
 
-/// Servers of a service up to which all are looked at for each request. The least loaded of as many as are drawn of more
-/// differs from the least loaded of all by nothing that a request would notice.
+/// Number of servers of a service up to which all are examined for each request. Of more servers, a sample
+/// is examined: its least loaded server differs from the least loaded of all by too little for a request to
+/// notice.
 const MAX_EXAMINED: usize = 256;
-/// Servers of the preferred hall that are drawn of more, and of all other halls.
+/// Sample size from the preferred hall, and from all other halls together.
 const SAMPLE_SIZE: usize = 64;
 
-/// The servers that a request may go to; of many servers some that are drawn, or all where none of those may be used.
+/// The servers that a request may go to. For services with many servers this is a sample, unless no usable
+/// server is in the sample.
 fn candidates<'a>(
     servers: &'a Servers,
     service: &'a Service,
@@ -423,7 +430,7 @@
     reachable_or_all(servers.listed(&service.name).filter(may_take), now)
 }
 
-/// Those of some servers that can be reached, or all where none can.
+/// The servers that can be reached, or all of them if none can.
 fn reachable_or_all<'a>(
     open: impl Iterator<Item = (ServerKey, &'a Server)>,
     now: Instant,
--- a/src/gateway/table.rs
+++ b/src/gateway/table.rs
@@ -13,12 +13,12 @@
     Safe,
     /// At most once.
     Unsafe,
-    /// Answered by a stream of events; at most once unless the stream may be resumed.
+    /// Answered by a stream of events; at most once, unless the stream can be resumed.
     Streaming,
 }
 
 impl RouteKind {
-    /// The name in metrics.
+    /// Name in metrics.
     pub fn name(self) -> &'static str {
         match self {
             RouteKind::Safe => "safe",
@@ -33,47 +33,47 @@
 pub struct Target {
     /// Name of the service.
     pub service: Arc<str>,
-    /// Its share, relative to the other targets.
+    /// Its weight relative to the other targets.
     pub weight: u32,
 }
 
-/// Regions that requests must stay in; none where they may go anywhere.
+/// Regions that requests must stay in. If empty, requests may go anywhere.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RegionList(pub Vec<String>);
 
 impl RegionList {
-    /// Whether requests may go to a region; `None` is one that isn't known.
+    /// Whether requests may go to a region; `None` is an unknown region.
     pub fn allow(&self, region: Option<&str>) -> bool {
         self.0.is_empty() || self.0.iter().any(|home| Some(home.as_str()) == region)
     }
 }
 
-/// One route of the declared configuration.
+/// A route of the declared configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
     /// Name, for logs.
     pub name: String,
-    /// Host that callers name.
+    /// Host name that callers use.
     pub host: String,
-    /// Start of the paths, with a slash at both ends.
+    /// Prefix of the paths, with a slash at both ends.
     pub prefix: String,
     /// How often a request may run.
     pub kind: RouteKind,
-    /// Whether a broken stream may be continued by another run.
+    /// Whether another run may continue a stream that broke off.
     pub resumable: bool,
-    /// Longest time a request is held.
+    /// Longest time until a request is answered.
     pub timeout: Duration,
-    /// Time to the answer (of a stream: to its first event) that the service aims at.
+    /// Target for the time to the answer or, for streams, to the first event.
     pub latency_slo: Duration,
-    /// Longest pause between events that the service aims at.
+    /// Target for the longest pause between two events of a stream.
     pub gap_slo: Option<Duration>,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Replicas that may run one request.
+    /// Number of replicas that may run one request.
     pub max_attempts: u32,
     /// Whether callers need no key.
     pub anonymous: bool,
-    /// Services that take the requests.
+    /// Services that handle the requests.
     pub targets: Vec<Target>,
     /// Regions that requests must stay in.
     pub allowed_regions: RegionList,
@@ -89,12 +89,12 @@
         }
     }
 
-    /// Whether a request that may have run so many times may run once more.
+    /// Whether a request that may have run `runs` times may run once more.
     pub fn may_run_again(&self, runs: u32) -> bool {
         self.repeatable() && runs < self.max_attempts
     }
 
-    /// A service for one request, drawn by weight.
+    /// Draws a service for one request by weight.
     pub fn draw(&self, rng: &mut impl rand::Rng) -> Option<&Arc<str>> {
         let total: u32 = self.targets.iter().map(|t| t.weight).sum();
         if total == 0 {
@@ -111,22 +111,22 @@
     }
 }
 
-/// What a service of model replicas says of its engines.
+/// Properties of the model engines of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// Runs at a time.
+    /// Number of concurrent runs.
     pub slots: u32,
     /// Memory shared by all runs, in tokens.
     pub memory: u32,
-    /// Bytes of memory a token.
+    /// Bytes of memory per token.
     pub token_bytes: u64,
-    /// Bandwidth of a replica's link for copies of runs, in Mbit/s.
+    /// Bandwidth of a replica's link for copying runs, in Mbit/s.
     pub link_mbps: f64,
-    /// Tokens that one event of a stream holds.
+    /// Number of tokens in an event of a stream.
     pub event_tokens: u32,
-    /// Whether running requests can be copied to another replica.
+    /// Whether a running request can be copied to another replica.
     pub supports_moves: bool,
-    /// Whether a replica can keep a copy of a run up to date elsewhere.
+    /// Whether a replica can keep an up-to-date copy of a run on another one.
     pub supports_backups: bool,
 }
 
@@ -135,22 +135,22 @@
 pub struct Service {
     /// Name.
     pub name: Arc<str>,
-    /// Connections that one replica takes from all callers.
+    /// Number of connections that a replica accepts from all callers together.
     pub connections: u32,
-    /// Path of the health check of its replicas; `None` where none is declared.
+    /// Path of the replicas' health check; `None` if none is declared.
     pub health_path: Option<Arc<str>>,
     /// How its replicas warm up after a start.
     pub warm_up: WarmUp,
-    /// Present where the replicas are model engines.
+    /// Present if the replicas are model engines.
     pub engine: Option<Engine>,
 }
 
-/// A workspace: whose requests they are.
+/// A workspace: the owner of requests, identified by its keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Workspace {
     /// Name.
     pub name: Arc<str>,
-    /// Rank that goes before the route's.
+    /// Priority that overrides the route's.
     pub priority: Option<u8>,
     /// Keys of its callers.
     pub keys: Vec<String>,
@@ -158,28 +158,28 @@
     pub allowed_regions: RegionList,
 }
 
-/// Bounds on what callers send.
+/// Limits for callers' connections and requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Largest head of a request, in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Largest body of a request, in bytes.
     pub body_bytes: usize,
-    /// Time for the head to come.
+    /// Time within which the head must be received.
     pub header_timeout: Duration,
-    /// Time that a connection may rest.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
 /// One version of the configuration.
 #[derive(Debug)]
 pub struct Table {
-    /// Version that the operators gave it.
+    /// Version number, set by the operators.
     pub version: u64,
-    /// Bounds on callers.
+    /// Limits for callers.
     pub limits: Limits,
     by_host: HashMap<String, Vec<Arc<Route>>>,
-    /// The shortest slo of the routes to each service.
+    /// The strictest SLO of the routes to each service.
     latency_slos: HashMap<Arc<str>, Duration>,
     services: HashMap<Arc<str>, Arc<Service>>,
     workspaces: Vec<Workspace>,
@@ -187,7 +187,8 @@
 }
 
 impl Table {
-    /// Puts a version together; the routes of a host are tried from the longest prefix on.
+    /// Builds a version of the configuration. Routes of a host are matched in the order of their prefixes'
+    /// lengths, longest first.
     pub fn new(
         version: u64,
         limits: Limits,
@@ -215,14 +216,14 @@
         Table { version, limits, by_host, latency_slos: aims, services, workspaces, by_key }
     }
 
-    /// The route of a request: of its host's routes, the one with the longest prefix of the path.
+    /// The route of a request: the one with the longest matching path prefix among the host's routes.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _port)| name);
         let routes = self.by_host.get(&name.to_ascii_lowercase())?;
         routes.iter().find(|r| path.starts_with(&r.prefix))
     }
 
-    /// What the routes of a host say of the regions that requests must stay in.
+    /// The region restrictions of a host's routes, without those that are empty.
     pub fn allowed_regions<'a>(&'a self, host: &str) -> impl Iterator<Item = &'a RegionList> {
         let routes = self.by_host.get(&host.to_ascii_lowercase());
         routes
@@ -232,7 +233,7 @@
             .filter(|homes| !homes.0.is_empty())
     }
 
-    /// The shortest slo of the routes to a service.
+    /// The strictest SLO of the routes to a service.
     pub fn latency_slo(&self, service: &str) -> Option<Duration> {
         self.latency_slos.get(service).copied()
     }
@@ -242,12 +243,12 @@
         self.services.get(name)
     }
 
-    /// Whether requests need a key at all.
+    /// Whether any workspace is declared, so that requests need a key.
     pub fn has_workspaces(&self) -> bool {
         !self.workspaces.is_empty()
     }
 
-    /// The workspace that holds a key.
+    /// The workspace that a key belongs to.
     pub fn workspace(&self, key: &str) -> Option<&Workspace> {
         self.by_key.get(key).map(|i| &self.workspaces[*i])
     }
