--- a/src/gateway/cell.rs
+++ b/src/gateway/cell.rs
@@ -29,7 +29,7 @@
 pub struct CellId {
     /// The hall's name; no name where the whole fleet is one cell.
     pub hall: Tag,
-    part: u32,
+    index: u32,
 }
 
 /// How a daemon sees the fleet divided.
@@ -63,7 +63,7 @@
         let hall = Tag::of(if divided { &own.hall } else { "" });
         let mut layout = Layout {
             // Halls have far fewer cells than 2^32.
-            own_cell: CellId { hall, part: part as u32 },
+            own_cell: CellId { hall, index: part as u32 },
             cell_peers: near.into_iter().map(|d| d.peers).collect(),
             relay: through,
             sibling_relays: HashSet::new(),
@@ -73,14 +73,14 @@
         if layout.is_relay() {
             let siblings = cells.iter().enumerate().filter(|(i, _)| *i != part);
             layout.sibling_relays =
-                siblings.filter_map(|(_, cell)| contact(cell, &is_silent)).collect();
+                siblings.filter_map(|(_, cell)| presumed_relay(cell, &is_silent)).collect();
             let duties = other_halls(own, others)
                 .into_iter()
-                .map(|(other, daemons)| (duty(hall, other), daemons))
+                .map(|(other, daemons)| (pair_hash(hall, other), daemons))
                 .filter(|(duty, _)| duty % cells.len() as u64 == part as u64);
             let reached = duties.filter_map(|(duty, daemons)| {
                 let theirs = self::cells(daemons);
-                contact(&theirs[(duty % theirs.len() as u64) as usize], &is_silent)
+                presumed_relay(&theirs[(duty % theirs.len() as u64) as usize], &is_silent)
             });
             layout.hall_relays = reached.collect();
         }
@@ -135,11 +135,11 @@
 }
 
 /// The daemon of a cell that is told its sums: its relay, as far as this daemon can tell.
-fn contact(cell: &[&Daemon], is_silent: impl Fn(SocketAddr) -> bool) -> Option<SocketAddr> {
+fn presumed_relay(cell: &[&Daemon], is_silent: impl Fn(SocketAddr) -> bool) -> Option<SocketAddr> {
     cell.iter().min_by_key(|d| (is_silent(d.peers), rank(d))).map(|d| d.peers)
 }
 
 /// A number for a pair of halls, the same seen from both: it chooses the cells whose relays cross.
-fn duty(one: Tag, other: Tag) -> u64 {
+fn pair_hash(one: Tag, other: Tag) -> u64 {
     one.min(other).combined_with(one.max(other)).value()
 }
--- a/src/gateway/cluster.rs
+++ b/src/gateway/cluster.rs
@@ -26,7 +26,7 @@
 use crate::peer::{Handler, LinkLimits, Peers};
 use crate::time;
 use crate::tls::Identity;
-use answering::Answering;
+use answering::PeerHandler;
 use futures_util::future::BoxFuture;
 use log::warn;
 use rand::RngExt;
@@ -40,39 +40,39 @@
 
 /// Least time between two heartbeats to one daemon for changes of load: changes that come together
 /// are told together.
-const SPACING: Duration = Duration::from_millis(40);
+const LOAD_UPDATE_INTERVAL: Duration = Duration::from_millis(40);
 /// Time between two looks at whether the fleet is to be divided otherwise, and for daemons to be greeted.
-const DIVIDE: Duration = Duration::from_millis(100);
+const LAYOUT_INTERVAL: Duration = Duration::from_millis(100);
 /// The same where heartbeats come seldom.
-const DIVIDE_SELDOM: Duration = Duration::from_millis(300);
+const IDLE_LAYOUT_INTERVAL: Duration = Duration::from_millis(300);
 /// Age of the last read of the store by any daemon up to which the others need not read it.
-const READ_LATELY: Duration = Duration::from_millis(700);
+const RECENT_READ: Duration = Duration::from_millis(700);
 /// What a daemon waits longer for each one that reads before it.
 const READ_STEP: Duration = Duration::from_millis(120);
 /// Longest that a daemon waits for those before it: a fleet whose first readers are cut off from the
 /// store still reads within two seconds.
-const LONGEST_TURN: Duration = Duration::from_millis(1_000);
+const MAX_READ_DELAY: Duration = Duration::from_millis(1_000);
 /// Time that news of a read takes through other cells: a heartbeat between cells and one within.
 const REPORT_DELAY: Duration = Duration::from_millis(550);
 /// Time after which a daemon that knows that its copy is behind reads the store itself: its peers
 /// may have no bandwidth for a large change.
-const BEHIND: Duration = Duration::from_millis(250);
+const MAX_BEHIND: Duration = Duration::from_millis(250);
 /// Time from a daemon's start within which the store, or a peer that knows it, tells who the others are.
-const FIRST_READ: Duration = Duration::from_millis(1_000);
+const SEED_DELAY: Duration = Duration::from_millis(1_000);
 /// Time for which an address that nobody answers at is greeted, where other daemons are heard.
-const STRANGER: Duration = Duration::from_secs(10);
+const UNKNOWN_PEER_LIFETIME: Duration = Duration::from_secs(10);
 /// Longest time for a peer to begin to give what this daemon lacks, and longest pause within it. A whole copy takes as
 /// long as the links need.
-const FETCH_LIMIT: Duration = Duration::from_millis(400);
+const FETCH_TIMEOUT: Duration = Duration::from_millis(400);
 /// Updates given at a time; further askers get none and try another daemon or the store. Large ones
 /// fill the link of a small VM.
-const MOST_GIVEN: usize = 3;
+const MAX_CONCURRENT_UPDATES: usize = 3;
 /// Links are given up soon after their peer falls silent, and made anew when it is back.
-const LINKS: LinkLimits = LinkLimits { idle_ms: 2_000, streams: 32 };
+const LINK_LIMITS: LinkLimits = LinkLimits { idle_ms: 2_000, streams: 32 };
 
 /// See the module.
 pub struct Cluster {
-    own: Weak<Cluster>,
+    weak_self: Weak<Cluster>,
     gateway: Arc<Gateway>,
     mirror: Arc<Mirror>,
     roster: Arc<Roster>,
@@ -81,27 +81,27 @@
     /// Addresses from the settings that are tried for first contact.
     seeds: Mutex<Vec<SocketAddr>>,
     /// Addresses that heartbeats named since the last look.
-    named: Mutex<Vec<SocketAddr>>,
+    announced: Mutex<Vec<SocketAddr>>,
     /// Daemons that have a task, and since when.
-    greeted: Mutex<HashMap<SocketAddr, Instant>>,
+    peer_tasks: Mutex<HashMap<SocketAddr, Instant>>,
     ready: Box<dyn Fn() -> bool + Send + Sync>,
     /// Whether anything was heard since it was last added up.
-    unheard: AtomicBool,
+    stats_changed: AtomicBool,
     fetching: AtomicBool,
     /// Whether this daemon last asked the store in vain.
-    in_vain: AtomicBool,
+    last_read_failed: AtomicBool,
     /// When this daemon last read the store.
     own_read: Mutex<Option<Instant>>,
     /// Since when this copy is known to be behind.
-    behind: Mutex<Option<Instant>>,
-    giving: Semaphore,
+    behind_since: Mutex<Option<Instant>>,
+    update_permits: Semaphore,
 }
 
 impl Cluster {
     /// Listens for peers.
     pub fn listen(addr: SocketAddr, gateway: &Gateway) -> Result<Peers> {
         let identity = Identity::unauthenticated()?;
-        Peers::bind(addr, &identity, LINKS, gateway.metrics.traffic.clone())
+        Peers::bind(addr, &identity, LINK_LIMITS, gateway.metrics.traffic.clone())
     }
 
     /// A cluster of this daemon alone, until it [`runs`](Cluster::run).
@@ -115,22 +115,22 @@
         let clock = Clock::new(rand::rng().random(), time::now());
         let view = View::new(roster.own().clone(), clock);
         let cluster = Arc::new_cyclic(|own| Cluster {
-            own: own.clone(),
+            weak_self: own.clone(),
             gateway,
             mirror,
             roster,
             links: Arc::new(links),
             view: Mutex::new(view),
             seeds: Mutex::default(),
-            named: Mutex::default(),
-            greeted: Mutex::default(),
+            announced: Mutex::default(),
+            peer_tasks: Mutex::default(),
             ready,
-            unheard: AtomicBool::new(true),
+            stats_changed: AtomicBool::new(true),
             fetching: AtomicBool::new(false),
-            in_vain: AtomicBool::new(false),
+            last_read_failed: AtomicBool::new(false),
             own_read: Mutex::default(),
-            behind: Mutex::default(),
-            giving: Semaphore::new(MOST_GIVEN),
+            behind_since: Mutex::default(),
+            update_permits: Semaphore::new(MAX_CONCURRENT_UPDATES),
         });
         let hearing = Arc::downgrade(&cluster);
         cluster.gateway.set_peer_source(hearing);
@@ -152,18 +152,18 @@
         tokio::spawn(self.links.clone().serve(self.handler()));
         loop {
             self.mirror.tick(time::now());
-            self.divide(time::now());
-            for addr in self.wanted(time::now()) {
-                self.greet(addr);
+            self.refresh_layout(time::now());
+            for addr in self.heartbeat_targets(time::now()) {
+                self.spawn_peer_task(addr);
             }
-            let seldom = self.view().spacing(SPACING) > DIVIDE_SELDOM;
-            sleep(if seldom { DIVIDE_SELDOM } else { DIVIDE }).await;
+            let seldom = self.view().spacing(LOAD_UPDATE_INTERVAL) > IDLE_LAYOUT_INTERVAL;
+            sleep(if seldom { IDLE_LAYOUT_INTERVAL } else { LAYOUT_INTERVAL }).await;
         }
     }
 
     /// The side that answers peers.
     fn handler(self: &Arc<Self>) -> Arc<dyn Handler> {
-        Arc::new(Answering(self.clone()))
+        Arc::new(PeerHandler(self.clone()))
     }
 
     /// Whether this daemon should read the store now: no daemon did lately, or what it lacks was
@@ -181,11 +181,11 @@
         if self.mirror.last_failure().is_some_and(|failed| Some(failed) > read) {
             let since = read.unwrap_or(view.clock().started());
             let turn = READ_STEP.saturating_mul(view.store_retry_turn(self.roster.count()));
-            return now.saturating_duration_since(since) > READ_LATELY + turn;
+            return now.saturating_duration_since(since) > RECENT_READ + turn;
         }
         let turn = READ_STEP.saturating_mul(u32::try_from(before).unwrap_or(u32::MAX));
         let report_delay = if view.layout().divided { REPORT_DELAY } else { Duration::ZERO };
-        let lately = READ_LATELY + report_delay + turn.min(LONGEST_TURN);
+        let lately = RECENT_READ + report_delay + turn.min(MAX_READ_DELAY);
         read.is_none_or(|read| now.saturating_duration_since(read) > lately)
     }
 
@@ -202,8 +202,8 @@
     /// How long this daemon need not look again whether it should read: what others read lately is known.
     pub fn time_to_next_read_check(&self, now: Instant) -> Duration {
         let read = self.view().last_store_read();
-        let left = read.map(|at| (at + READ_LATELY).saturating_duration_since(now));
-        left.unwrap_or_default().min(BEHIND)
+        let left = read.map(|at| (at + RECENT_READ).saturating_duration_since(now));
+        left.unwrap_or_default().min(MAX_BEHIND)
     }
 
     /// How many daemons are to read the store before this one.
@@ -215,13 +215,13 @@
     pub fn note_store_read(&self, now: Instant) {
         self.view().note_store_read(Some(now));
         *self.own_read.lock().expect("no holder panics") = Some(now);
-        self.in_vain.store(false, Ordering::Release);
-        *self.behind.lock().expect("no holder panics") = None;
+        self.last_read_failed.store(false, Ordering::Release);
+        *self.behind_since.lock().expect("no holder panics") = None;
     }
 
     /// Notes that this daemon asked the store in vain.
     pub fn note_store_failure(&self, now: Instant) {
-        self.in_vain.store(true, Ordering::Release);
+        self.last_read_failed.store(true, Ordering::Release);
         self.mirror.store_failed(now);
     }
 
@@ -236,11 +236,11 @@
     }
 
     /// Divides the fleet anew and takes over what the others have running and have spent.
-    fn divide(&self, now: Instant) {
+    fn refresh_layout(&self, now: Instant) {
         let (listing, rank) = self.roster.listing();
         let count = listing.daemons.len();
         let stretch = IntervalScale::of(self.gateway.request_gap(now));
-        let greeted = self.greeted.lock().expect("no holder panics").clone();
+        let greeted = self.peer_tasks.lock().expect("no holder panics").clone();
         let mut view = self.view();
         view.update_layout(&listing, |addr| greeted.get(&addr).copied(), now);
         view.set_interval_scale(stretch);
@@ -251,7 +251,7 @@
         self.gateway.set_rank(rank);
         drop(view);
         // What was not told again in time no longer counts.
-        self.unheard.store(true, Ordering::Release);
+        self.stats_changed.store(true, Ordering::Release);
         let (limited, backing_off) = {
             let mut servers = self.gateway.servers();
             servers.prune(now);
@@ -263,7 +263,7 @@
     }
 
     /// Daemons that this one sends heartbeats to.
-    fn wanted(&self, now: Instant) -> Vec<SocketAddr> {
+    fn heartbeat_targets(&self, now: Instant) -> Vec<SocketAddr> {
         let view = self.view();
         let mut wanted = view.partners(now);
         let unknown = |addr: &SocketAddr| self.is_unknown(&view, *addr);
@@ -271,7 +271,7 @@
             let seeds = self.seeds.lock().expect("no holder panics");
             wanted.extend(seeds.iter().copied().filter(unknown));
         }
-        let mut named = self.named.lock().expect("no holder panics");
+        let mut named = self.announced.lock().expect("no holder panics");
         wanted.extend(named.drain(..).filter(unknown));
         wanted
     }
@@ -279,7 +279,7 @@
     /// Whether this daemon has no other way to its peers than the few addresses that all daemons know: a fleet that
     /// greets them has a connection of each daemon there.
     fn needs_seeds(&self, view: &View, now: Instant) -> bool {
-        let waited = now.saturating_duration_since(view.clock().started()) >= FIRST_READ;
+        let waited = now.saturating_duration_since(view.clock().started()) >= SEED_DELAY;
         waited && view.count(now) == 0
     }
 
@@ -287,8 +287,9 @@
     fn relation(&self, addr: SocketAddr, now: Instant) -> Option<Relation> {
         let view = self.view();
         let stranger = || {
-            let greeted = self.greeted.lock().expect("no holder panics").get(&addr).copied();
-            let lately = greeted.is_none_or(|at| now.saturating_duration_since(at) < STRANGER);
+            let greeted = self.peer_tasks.lock().expect("no holder panics").get(&addr).copied();
+            let lately =
+                greeted.is_none_or(|at| now.saturating_duration_since(at) < UNKNOWN_PEER_LIFETIME);
             let is_met = lately || self.needs_seeds(&view, now);
             (is_met && self.is_unknown(&view, addr)).then_some(Relation::Unknown)
         };
@@ -301,11 +302,11 @@
     }
 
     /// One task for each daemon that heartbeats are due to; it ends when they no longer are.
-    fn greet(self: &Arc<Self>, addr: SocketAddr) {
+    fn spawn_peer_task(self: &Arc<Self>, addr: SocketAddr) {
         if addr == self.roster.own().peers {
             return;
         }
-        let mut greeted = self.greeted.lock().expect("no holder panics");
+        let mut greeted = self.peer_tasks.lock().expect("no holder panics");
         if greeted.contains_key(&addr) {
             return;
         }
@@ -313,12 +314,12 @@
         drop(greeted);
         let cluster = self.clone();
         tokio::spawn(async move {
-            cluster.talk(addr, &cluster.handler()).await;
-            cluster.greeted.lock().expect("no holder panics").remove(&addr);
+            cluster.send_heartbeats(addr, &cluster.handler()).await;
+            cluster.peer_tasks.lock().expect("no holder panics").remove(&addr);
         });
     }
 
-    async fn talk(self: &Arc<Self>, addr: SocketAddr, handler: &Arc<dyn Handler>) {
+    async fn send_heartbeats(self: &Arc<Self>, addr: SocketAddr, handler: &Arc<dyn Handler>) {
         let (mut news, mut loads) = (self.gateway.urgent_changes(), self.gateway.load_changes());
         let mut copy = self.gateway.copy_changes();
         let mut pace = SumSchedule::default();
@@ -336,9 +337,11 @@
             let (heard, pause, spacing, forwards) = {
                 let (view, now) = (self.view(), time::now());
                 let heard = view.can_reach(addr, now);
-                let (pause, spacing) =
-                    (view.heartbeat_interval(addr, relation, now), view.spacing(SPACING));
-                (heard, pause, spacing, heard && self.forwards(&view, now))
+                let (pause, spacing) = (
+                    view.heartbeat_interval(addr, relation, now),
+                    view.spacing(LOAD_UPDATE_INTERVAL),
+                );
+                (heard, pause, spacing, heard && self.forwards_store_changes(&view, now))
             };
             let pause = pause.mul_f64(rand::rng().random_range(0.9..1.1));
             let near = heard && relation == Relation::SameCell && spacing < pause;
@@ -354,9 +357,9 @@
 
     /// Whether others hear of changes of the store from this daemon: a relay, one that reads the store, or any of a
     /// small fleet. All others have them from one of these, as their peers do.
-    fn forwards(&self, view: &View, now: Instant) -> bool {
+    fn forwards_store_changes(&self, view: &View, now: Instant) -> bool {
         let layout = view.layout();
-        let reads = |at: Instant| now.saturating_duration_since(at) < READ_LATELY;
+        let reads = |at: Instant| now.saturating_duration_since(at) < RECENT_READ;
         let reads = self.own_read.lock().expect("no holder panics").is_some_and(reads);
         !layout.divided || layout.is_relay() || reads
     }
@@ -391,17 +394,17 @@
         }
     }
 
-    fn hear(self: &Arc<Self>, heartbeat: Heartbeat, now: Instant) {
+    fn receive(self: &Arc<Self>, heartbeat: Heartbeat, now: Instant) {
         let from = heartbeat.daemon.peers;
         let sent = {
             let mut view = self.view();
             view.on_heartbeat(&heartbeat, now);
             view.clock().earliest_send_time(heartbeat.echo, now)
         };
-        self.unheard.store(true, Ordering::Release);
+        self.stats_changed.store(true, Ordering::Release);
         self.gateway.servers().merge_observations(&heartbeat.observations, sent, now);
-        self.hear_of_store(&heartbeat, sent, now);
-        self.named.lock().expect("no holder panics").extend(heartbeat.peer_addrs);
+        self.merge_store_ages(&heartbeat, sent, now);
+        self.announced.lock().expect("no holder panics").extend(heartbeat.peer_addrs);
         let Some(statement) = heartbeat.copy_status else {
             return;
         };
@@ -413,14 +416,14 @@
         if lack == Lack::Nothing {
             return;
         }
-        self.behind.lock().expect("no holder panics").get_or_insert(now);
+        self.behind_since.lock().expect("no holder panics").get_or_insert(now);
         if !self.fetching.swap(true, Ordering::AcqRel) {
             tokio::spawn(self.clone().fetch(from, lack));
         }
     }
 
     /// Takes over when the store was last read, and last asked in vain, as far as a peer knows.
-    fn hear_of_store(&self, heartbeat: &Heartbeat, sent: Option<Instant>, now: Instant) {
+    fn merge_store_ages(&self, heartbeat: &Heartbeat, sent: Option<Instant>, now: Instant) {
         let at = |ms: u32| sent.and_then(|sent| minus_millis(sent, ms));
         if let Some(failed) = heartbeat.store_failure_age_ms.and_then(at) {
             self.mirror.store_failed(failed);
@@ -435,28 +438,29 @@
     async fn fetch(self: Arc<Self>, from: SocketAddr, lack: Lack) {
         let complete = match lack {
             Lack::Changes => {
-                self.take_from(from, Request::SmallAfter(self.mirror.position())).await
+                self.fetch_from(from, Request::SmallAfter(self.mirror.position())).await
             }
             Lack::LargeValues | Lack::Nothing => Some(false),
         };
-        let from_store = self.is_behind(time::now()) && !self.in_vain.load(Ordering::Acquire);
+        let from_store =
+            self.is_behind(time::now()) && !self.last_read_failed.load(Ordering::Acquire);
         if complete == Some(false) && !from_store {
-            self.take_from(from, Request::AllAfter(self.mirror.position())).await;
+            self.fetch_from(from, Request::AllAfter(self.mirror.position())).await;
         }
         self.fetching.store(false, Ordering::Release);
     }
 
     /// Takes in what a peer gives. Says whether it was all that this copy lacked; `None` where
     /// nothing came.
-    async fn take_from(self: &Arc<Self>, from: SocketAddr, request: Request) -> Option<bool> {
+    async fn fetch_from(self: &Arc<Self>, from: SocketAddr, request: Request) -> Option<bool> {
         let handler = self.handler();
         let asked = time::now();
         let progress = || {
             // The store is not asked for what a peer is giving.
-            let mut behind = self.behind.lock().expect("no holder panics");
+            let mut behind = self.behind_since.lock().expect("no holder panics");
             *behind = behind.map(|_| time::now());
         };
-        let limits = (FETCH_LIMIT, FETCH_LIMIT);
+        let limits = (FETCH_TIMEOUT, FETCH_TIMEOUT);
         let answer = self
             .links
             .ask_large::<Option<Update>>(from, &request, limits, &handler, progress)
@@ -472,15 +476,15 @@
         let complete = update.complete;
         self.mirror.apply(update, seen, time::now());
         if complete {
-            *self.behind.lock().expect("no holder panics") = None;
+            *self.behind_since.lock().expect("no holder panics") = None;
         }
         Some(complete)
     }
 
     /// Whether this copy has been behind for so long that the daemon reads the store itself.
     fn is_behind(&self, now: Instant) -> bool {
-        let behind = *self.behind.lock().expect("no holder panics");
-        behind.is_some_and(|since| now.saturating_duration_since(since) > BEHIND)
+        let behind = *self.behind_since.lock().expect("no holder panics");
+        behind.is_some_and(|since| now.saturating_duration_since(since) > MAX_BEHIND)
     }
 
     fn view(&self) -> MutexGuard<'_, View> {
@@ -490,7 +494,7 @@
 
 impl PeerSource for Cluster {
     fn peer_stats(&self, now: Instant) -> Option<PeerStats> {
-        self.unheard.swap(false, Ordering::AcqRel).then(|| self.view().peer_stats(now))
+        self.stats_changed.swap(false, Ordering::AcqRel).then(|| self.view().peer_stats(now))
     }
 
     fn higher_ranked_load(&self, server: Tag, now: Instant) -> Load {
--- a/src/gateway/cluster/answering.rs
+++ b/src/gateway/cluster/answering.rs
@@ -12,21 +12,21 @@
 use std::sync::Arc;
 
 /// The side of [`Cluster`] that answers peers.
-pub(super) struct Answering(pub(super) Arc<Cluster>);
+pub(super) struct PeerHandler(pub(super) Arc<Cluster>);
 
-impl Answering {
+impl PeerHandler {
     /// Small values that a copy at `position` lacks. A copy that lacks everything waits its turn.
-    async fn give_small(&self, position: Position, peer_stream: &mut PeerStream) {
+    async fn send_small_values(&self, position: Position, peer_stream: &mut PeerStream) {
         let now = time::now();
         match self.0.mirror.update_after(position, now).filter(|update| !update.full) {
             Some(update) => send(Some(update), peer_stream).await,
-            None => self.give_all(position, peer_stream).await,
+            None => self.send_all_values(position, peer_stream).await,
         }
     }
 
     /// All that a copy at `position` lacks; nothing while this daemon gives to others.
-    async fn give_all(&self, position: Position, peer_stream: &mut PeerStream) {
-        let permit = self.0.giving.try_acquire();
+    async fn send_all_values(&self, position: Position, peer_stream: &mut PeerStream) {
+        let permit = self.0.update_permits.try_acquire();
         let update = match &permit {
             Ok(_) => self.0.mirror.all_after(position, time::now()),
             Err(_) => None,
@@ -41,10 +41,10 @@
     }
 }
 
-impl Handler for Answering {
+impl Handler for PeerHandler {
     fn on_message(&self, bytes: &[u8]) {
         match message::decode::<Heartbeat>(bytes) {
-            Ok(heartbeat) => self.0.hear(heartbeat, time::now()),
+            Ok(heartbeat) => self.0.receive(heartbeat, time::now()),
             Err(e) => warn!(why = format!("{e:?}").as_str(); "heartbeat not readable"),
         }
     }
@@ -53,9 +53,11 @@
         Box::pin(async move {
             match message::decode::<Request>(&first) {
                 Ok(Request::SmallAfter(position)) => {
-                    self.give_small(position, &mut peer_stream).await
+                    self.send_small_values(position, &mut peer_stream).await
+                }
+                Ok(Request::AllAfter(position)) => {
+                    self.send_all_values(position, &mut peer_stream).await
                 }
-                Ok(Request::AllAfter(position)) => self.give_all(position, &mut peer_stream).await,
                 Ok(Request::Quota(wanted)) => {
                     let given = self.0.gateway.lend_quota(&wanted, time::now());
                     if peer_stream.send(&given).await.is_ok() {
--- a/src/gateway/cluster/quota.rs
+++ b/src/gateway/cluster/quota.rs
@@ -20,12 +20,12 @@
 const TOTAL_QUOTA_TIMEOUT: Duration = Duration::from_millis(120);
 /// Peers of the same cell that are asked for room at most, one after the other: all others of a small fleet. Where
 /// half of what a server names comes, about two thirds of those that hold room have some.
-const MOST_ASKED: usize = 5;
+const MAX_CELL_LENDERS: usize = 5;
 /// Daemons of other halls that are asked after them at most.
-const MOST_ASKED_FAR: usize = 3;
+const MAX_HALL_LENDERS: usize = 3;
 /// Daemons up to which a fleet's daemons ask those of other halls: one that holds room may have a link to each, and
 /// a small VM bears so many.
-const MOST_SHARING: usize = 64;
+const MAX_FLEET_ASKING_HALLS: usize = 64;
 
 impl Cluster {
     /// Asks them, within a time that a caller may wait. What one of them gives later goes unused.
@@ -34,7 +34,7 @@
     }
 
     async fn ask_lenders(&self, wanted: Vec<LimitedServer>) -> Option<Tag> {
-        let handler = self.own.upgrade()?.handler();
+        let handler = self.weak_self.upgrade()?.handler();
         let servers: Vec<Tag> = wanted.iter().map(|w| w.server).collect();
         for peer in self.lenders(&wanted, time::now()) {
             let request = Request::Quota(servers.clone());
@@ -55,20 +55,20 @@
     fn lenders(&self, wanted: &[LimitedServer], now: Instant) -> Vec<SocketAddr> {
         let view = self.view();
         let near = wanted.iter().flat_map(|w| view.quota_holders_in_cell(w.server, w.holders, now));
-        let mut lenders = drawn(near, MOST_ASKED);
+        let mut lenders = random_sample(near, MAX_CELL_LENDERS);
         let (listing, _) = self.roster.listing();
         let others = &listing.daemons;
-        if view.layout().divided && others.len() < MOST_SHARING {
+        if view.layout().divided && others.len() < MAX_FLEET_ASKING_HALLS {
             let own = self.roster.own();
             let far = wanted.iter().flat_map(|w| first_in_each_hall(own, others, w.server));
-            lenders.extend(drawn(far, MOST_ASKED_FAR));
+            lenders.extend(random_sample(far, MAX_HALL_LENDERS));
         }
         lenders
     }
 }
 
 /// Some of these addresses, `most` of them, each once.
-fn drawn(addrs: impl Iterator<Item = SocketAddr>, most: usize) -> Vec<SocketAddr> {
+fn random_sample(addrs: impl Iterator<Item = SocketAddr>, most: usize) -> Vec<SocketAddr> {
     let all: HashSet<SocketAddr> = addrs.collect();
     let mut drawn: Vec<SocketAddr> = all.into_iter().collect();
     drawn.shuffle(&mut rand::rng());
--- a/src/gateway/partner.rs
+++ b/src/gateway/partner.rs
@@ -13,28 +13,28 @@
 /// of the store in the worst case, and its copy must not seem late on an ordinary day.
 const CONTACT_HEARTBEAT: Duration = Duration::from_millis(40);
 /// Time between two attempts to reach a daemon that does not answer.
-const GREET: Duration = Duration::from_millis(400);
+const RETRY_INTERVAL: Duration = Duration::from_millis(400);
 /// Least time between two sums of a cell that a relay makes for one sibling: below the shortest time between
 /// two heartbeats of relays, so that each of them carries one.
-const CELL_SUMS: Duration = Duration::from_millis(25);
+const CELL_SUM_INTERVAL: Duration = Duration::from_millis(25);
 /// The same of sums of a hall to another hall: every second heartbeat. Bytes between halls are dear, but few
 /// daemons cross.
-const HALL_SUMS: Duration = Duration::from_millis(60);
+const HALL_SUM_INTERVAL: Duration = Duration::from_millis(60);
 /// The same of sums of all other halls to one's cell. They are the largest (some 2 KB for 130 servers), and go to
 /// each daemon of the cell: a relay on a link of 20 Mbit/s sends 2 Mbit/s of them.
-const ALL_SUMS: Duration = Duration::from_millis(140);
+const OTHER_HALLS_SUM_INTERVAL: Duration = Duration::from_millis(140);
 
 /// Part of the time between two requests at one server after which a load may be heard: no more than one in so many
 /// requests meets another one of which it could not know.
-const UNHEARD_FRACTION: f64 = 0.07;
+const UNREPORTED_FRACTION: f64 = 0.07;
 /// Most by which pauses between heartbeats are stretched, and the longest stretched ones: silence is noticed within three
 /// of them, and what the store's first reader knows takes two ways between relays and one within a cell.
-const MOST_STRETCHED: f64 = 10.0;
-const LONGEST_HEARTBEAT: Duration = Duration::from_millis(1_000);
-const LONGEST_RELAY_HEARTBEAT: Duration = Duration::from_millis(350);
-const LONGEST_CONTACT_HEARTBEAT: Duration = Duration::from_millis(200);
+const MAX_SCALE: f64 = 10.0;
+const MAX_HEARTBEAT: Duration = Duration::from_millis(1_000);
+const MAX_RELAY_HEARTBEAT: Duration = Duration::from_millis(350);
+const MAX_CONTACT_HEARTBEAT: Duration = Duration::from_millis(200);
 /// Requests at a server below which it is as good as idle to other halls, where pauses are stretched most.
-const LIGHT: f64 = 3.0;
+const MAX_LIGHT_RUNS: f64 = 3.0;
 /// Heartbeats that may be lost before a daemon counts as silent, and a little.
 const SILENT_HEARTBEATS: f64 = 2.8;
 
@@ -50,18 +50,18 @@
     /// For a time between two requests at one server, in seconds.
     pub fn of(gap: f64) -> IntervalScale {
         IntervalScale(
-            (gap * UNHEARD_FRACTION / RELAY_HEARTBEAT.as_secs_f64()).clamp(1.0, MOST_STRETCHED),
+            (gap * UNREPORTED_FRACTION / RELAY_HEARTBEAT.as_secs_f64()).clamp(1.0, MAX_SCALE),
         )
     }
 
-    fn pause(self, pause: Duration, longest: Duration) -> Duration {
-        pause.mul_f64(self.0).min(longest)
+    fn apply(self, interval: Duration, max: Duration) -> Duration {
+        interval.mul_f64(self.0).min(max)
     }
 
     /// Requests at a server below which other halls are not told of them: they take it for idle.
     pub fn min_reported_runs(self) -> u32 {
         // Not negative, and at most three.
-        (LIGHT * (self.0 - 1.0) / (MOST_STRETCHED - 1.0)) as u32
+        (MAX_LIGHT_RUNS * (self.0 - 1.0) / (MAX_SCALE - 1.0)) as u32
     }
 
     /// A time after which changes of load are told before a heartbeat is due anyway.
@@ -71,7 +71,7 @@
 }
 
 /// Silence after which a daemon that sends heartbeats so often is taken as gone; not below `least`.
-pub fn silence(pause: Duration, least: Duration) -> Duration {
+pub fn silence_timeout(pause: Duration, least: Duration) -> Duration {
     least.max(pause.mul_f64(SILENT_HEARTBEATS))
 }
 
@@ -96,11 +96,11 @@
     stretch: IntervalScale,
 ) -> Duration {
     match relation {
-        _ if !heard => GREET,
-        Relation::SameCell if relay => stretch.pause(RELAY_HEARTBEAT, LONGEST_RELAY_HEARTBEAT),
-        Relation::SameCell => stretch.pause(HEARTBEAT, LONGEST_HEARTBEAT),
+        _ if !heard => RETRY_INTERVAL,
+        Relation::SameCell if relay => stretch.apply(RELAY_HEARTBEAT, MAX_RELAY_HEARTBEAT),
+        Relation::SameCell => stretch.apply(HEARTBEAT, MAX_HEARTBEAT),
         Relation::SameHall | Relation::OtherHall | Relation::Unknown => {
-            stretch.pause(CONTACT_HEARTBEAT, LONGEST_CONTACT_HEARTBEAT)
+            stretch.apply(CONTACT_HEARTBEAT, MAX_CONTACT_HEARTBEAT)
         }
     }
 }
@@ -108,27 +108,27 @@
 /// When one partner was last told what.
 #[derive(Debug, Default)]
 pub struct SumSchedule {
-    made: Option<Instant>,
-    passed: Option<Instant>,
+    last_sum: Option<Instant>,
+    last_forward: Option<Instant>,
 }
 
 impl SumSchedule {
     /// Whether a sum that this daemon makes is due; if so, it counts as told now.
     pub(crate) fn is_due(&mut self, to: Relation, now: Instant) -> bool {
         let spacing = match to {
-            Relation::SameCell => ALL_SUMS,
-            Relation::OtherHall => HALL_SUMS,
-            Relation::SameHall | Relation::Unknown => CELL_SUMS,
+            Relation::SameCell => OTHER_HALLS_SUM_INTERVAL,
+            Relation::OtherHall => HALL_SUM_INTERVAL,
+            Relation::SameHall | Relation::Unknown => CELL_SUM_INTERVAL,
         };
-        let due = self.made.is_none_or(|made| now.saturating_duration_since(made) >= spacing);
+        let due = self.last_sum.is_none_or(|made| now.saturating_duration_since(made) >= spacing);
         if due {
-            self.made = Some(now);
+            self.last_sum = Some(now);
         }
         due
     }
 
     /// When the partner was last told what this daemon passes on; it counts as told now.
-    pub(crate) fn pass_on(&mut self, now: Instant) -> Option<Instant> {
-        self.passed.replace(now)
+    pub(crate) fn mark_forwarded(&mut self, now: Instant) -> Option<Instant> {
+        self.last_forward.replace(now)
     }
 }
--- a/src/gateway/sums.rs
+++ b/src/gateway/sums.rs
@@ -22,18 +22,18 @@
 
 /// Age at which a cell's sum no longer counts: a new relay takes over 0.7 s after the last heartbeat
 /// of the one before it, and its first sums need a few heartbeats.
-const CELL_LAPSE: Duration = Duration::from_millis(1_500);
+const CELL_SUM_LIFETIME: Duration = Duration::from_millis(1_500);
 /// The same for sums of halls, which come less often and over more daemons.
-const HALL_LAPSE: Duration = Duration::from_millis(2_500);
+const HALL_SUM_LIFETIME: Duration = Duration::from_millis(2_500);
 /// Places that callers are told of at least, so that one loss does not leave them without.
-pub(crate) const LEAST_ENTRIES: usize = 3;
+pub(crate) const MIN_ENTRIES: usize = 3;
 /// How much younger another maker's sum must be to take the place of one: as long as a relay is heard,
 /// a second daemon that takes itself for it changes nothing.
-const OTHER_MAKER: Duration = Duration::from_millis(450);
+const MAKER_CHANGE_AGE: Duration = Duration::from_millis(450);
 
 /// From where a sum came here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Way {
+pub(crate) enum SumSource {
     /// From a daemon of this cell.
     OwnCell,
     /// From another cell of this hall.
@@ -48,15 +48,15 @@
     /// The earliest moment at which it can have been made.
     made: Instant,
     /// When and how it came here.
-    came: Instant,
-    way: Way,
+    received: Instant,
+    source: SumSource,
 }
 
 impl StoredSum {
-    fn counts(&self, now: Instant) -> bool {
+    fn is_current(&self, now: Instant) -> bool {
         let lapse = match self.sum.origin {
-            Origin::Cell(_) => CELL_LAPSE,
-            Origin::Hall(_) | Origin::OtherHalls => HALL_LAPSE,
+            Origin::Cell(_) => CELL_SUM_LIFETIME,
+            Origin::Hall(_) | Origin::OtherHalls => HALL_SUM_LIFETIME,
         };
         now.saturating_duration_since(self.made) <= lapse
     }
@@ -70,24 +70,30 @@
 
 impl Sums {
     /// Takes in a sum that was told by a message sent at `sent` at the earliest.
-    pub(crate) fn take(&mut self, sum: &Sum, sent: Instant, way: Way, now: Instant) {
+    pub(crate) fn insert_if_newer(
+        &mut self,
+        sum: &Sum,
+        sent: Instant,
+        way: SumSource,
+        now: Instant,
+    ) {
         let Some(made) = minus_millis(sent, sum.age_ms) else {
             return;
         };
-        let stored = StoredSum { sum: sum.clone(), made, came: now, way };
+        let stored = StoredSum { sum: sum.clone(), made, received: now, source: way };
         let newer =
             self.by_origin.get(&sum.origin).is_none_or(|known| match known.sum.boot == sum.boot {
                 true => known.sum.stamp < sum.stamp,
-                false => made.saturating_duration_since(known.made) > OTHER_MAKER,
+                false => made.saturating_duration_since(known.made) > MAKER_CHANGE_AGE,
             });
-        if newer && stored.counts(now) {
+        if newer && stored.is_current(now) {
             self.by_origin.insert(sum.origin, stored);
         }
     }
 
     /// Forgets what no longer counts.
-    pub(crate) fn forget(&mut self, now: Instant) {
-        self.by_origin.retain(|_, stored| stored.counts(now));
+    pub(crate) fn remove_expired(&mut self, now: Instant) {
+        self.by_origin.retain(|_, stored| stored.is_current(now));
     }
 
     /// Sums of cells of `hall` but `own`, of which no two hold the same daemon and none one of `near`.
@@ -96,8 +102,12 @@
             Origin::Cell(id) => id != own && id.hall == own.hall,
             Origin::Hall(_) | Origin::OtherHalls => false,
         };
-        let mut cells: Vec<&StoredSum> =
-            self.by_origin.values().filter(wanted).filter(|stored| stored.counts(now)).collect();
+        let mut cells: Vec<&StoredSum> = self
+            .by_origin
+            .values()
+            .filter(wanted)
+            .filter(|stored| stored.is_current(now))
+            .collect();
         cells.sort_by_key(|stored| (std::cmp::Reverse(stored.made), stored.sum.boot));
         let mut counted = near;
         let mut disjoint = Vec::new();
@@ -113,8 +123,11 @@
     /// Sums of other halls: for a relay each hall's own, for its cell what the relay made of them. A
     /// daemon that has just become a relay, or has just lost its own, has the other ones for a while.
     pub(crate) fn halls(&self, relay: bool, now: Instant) -> Vec<&Sum> {
-        let counts =
-            self.by_origin.values().filter(|stored| stored.counts(now)).map(|stored| &stored.sum);
+        let counts = self
+            .by_origin
+            .values()
+            .filter(|stored| stored.is_current(now))
+            .map(|stored| &stored.sum);
         let (halls, others): (Vec<&Sum>, Vec<&Sum>) = counts
             .filter(|sum| !matches!(sum.origin, Origin::Cell(_)))
             .partition(|sum| matches!(sum.origin, Origin::Hall(_)));
@@ -123,15 +136,16 @@
     }
 
     /// Sums that came after `last` and are to be passed on by their origin and way, with their ages.
-    pub(crate) fn passed_on(
+    pub(crate) fn to_forward(
         &self,
-        wanted: impl Fn(Origin, Way) -> bool,
+        wanted: impl Fn(Origin, SumSource) -> bool,
         last: Option<Instant>,
         now: Instant,
     ) -> impl Iterator<Item = Sum> {
         let came =
-            self.by_origin.values().filter(move |stored| wanted(stored.sum.origin, stored.way));
-        let fresh = came.filter(move |stored| stored.counts(now) && Some(stored.came) > last);
+            self.by_origin.values().filter(move |stored| wanted(stored.sum.origin, stored.source));
+        let fresh =
+            came.filter(move |stored| stored.is_current(now) && Some(stored.received) > last);
         fresh.map(move |stored| Sum {
             age_ms: millis_between(stored.made, now),
             ..stored.sum.clone()
@@ -141,7 +155,7 @@
 
 /// Adds up what was told, and whose words it was.
 #[derive(Debug, Default)]
-pub(crate) struct Adder {
+pub(crate) struct SumBuilder {
     members: Vec<Tag>,
     daemons: u32,
     entries: Vec<SocketAddr>,
@@ -156,7 +170,7 @@
     pub(crate) rollouts: rollout::Reports,
 }
 
-impl Adder {
+impl SumBuilder {
     /// Adds what was told.
     pub(crate) fn add(&mut self, stats: &DaemonStats) {
         add(&mut self.loads, &stats.loads);
@@ -189,13 +203,13 @@
     }
 
     /// Leaves out servers with fewer requests than so many.
-    pub(crate) fn leave_out_light(&mut self, least: u32) {
+    pub(crate) fn drop_light_loads(&mut self, least: u32) {
         self.loads.retain(|_, load| load.runs >= least);
     }
 
     /// The sum, made now by the process of that clock.
     pub(crate) fn sum(mut self, origin: Origin, clock: &Clock, now: Instant) -> Sum {
-        self.entries.truncate(LEAST_ENTRIES);
+        self.entries.truncate(MIN_ENTRIES);
         Sum {
             origin,
             boot: clock.boot(),
--- a/src/gateway/tag.rs
+++ b/src/gateway/tag.rs
@@ -14,8 +14,8 @@
     }
 
     /// The tag of a number.
-    pub fn of_number(of_number: u64) -> Tag {
-        Tag::hashed(&of_number)
+    pub fn of_number(number: u64) -> Tag {
+        Tag::hashed(&number)
     }
 
     /// The tag of a pair; pairs with one half in common are ordered differently for each such half.
--- a/src/gateway/view.rs
+++ b/src/gateway/view.rs
@@ -7,7 +7,7 @@
 use crate::gateway::partner::{self, IntervalScale, Relation, SumSchedule};
 use crate::gateway::roster::{Daemon, Listing};
 use crate::gateway::servers::{Load, Observations, PeerStats};
-use crate::gateway::sums::{Adder, LEAST_ENTRIES, Sums, Way, add, halls_of};
+use crate::gateway::sums::{MIN_ENTRIES, SumBuilder, SumSource, Sums, add, halls_of};
 use crate::gateway::tag::Tag;
 use log::info;
 use std::collections::{HashMap, HashSet};
@@ -17,20 +17,20 @@
 /// Silence after which a daemon of the same cell is taken as gone for now: callers are not sent
 /// there, and its load is not counted; a relay has a successor. Almost three heartbeats. The same for
 /// a daemon that was greeted and has not answered.
-const SILENT: Duration = Duration::from_millis(700);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(700);
 /// The same for a daemon of another hall.
-const FAR_SILENT: Duration = Duration::from_millis(1_200);
+const OTHER_HALL_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Time for which a daemon that was greeted in vain is not chosen again, unless it is heard.
-const MISSED: Duration = Duration::from_secs(10);
+const UNANSWERED_LIFETIME: Duration = Duration::from_secs(10);
 /// Silence after which a daemon that the store does not list is forgotten.
-const FORGOTTEN: Duration = Duration::from_secs(30);
+const UNLISTED_LIFETIME: Duration = Duration::from_secs(30);
 /// Time for which a relay tells its cell the same sum of other halls, in milliseconds: adding it up for
 /// each daemon of the cell would cost a relay most of its time where the fleet is large.
-const RELAYED_MS: u64 = 100;
+const HALLS_SUM_CACHE_MS: u64 = 100;
 /// Other daemons that a heartbeat names.
-const NAMED: usize = 3;
+const MAX_PEER_ADDRS: usize = 3;
 /// Longest time to a next heartbeat that is believed.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+const MAX_INTERVAL: Duration = Duration::from_secs(2);
 
 /// A daemon as its heartbeats tell.
 #[derive(Debug)]
@@ -43,10 +43,10 @@
     stamp: u64,
     last_seen: Instant,
     /// Time within which its next heartbeat follows.
-    pause: Duration,
+    interval: Duration,
     ready: bool,
     /// Whether it chose this daemon as its contact.
-    chose: bool,
+    expects_replies: bool,
     cell: CellId,
     /// Its own; nothing where it is of another cell.
     stats: DaemonStats,
@@ -71,21 +71,21 @@
     layout: Layout,
     peers: HashMap<SocketAddr, Peer>,
     /// Daemons that were greeted in vain, and when that was last seen.
-    missed: HashMap<SocketAddr, Instant>,
+    unanswered: HashMap<SocketAddr, Instant>,
     sums: Sums,
     /// The sum of other halls that this daemon, as a relay, made last for all of its cell.
-    relayed: Option<Sum>,
+    cached_halls_sum: Option<Sum>,
     /// The latest read of the store by any daemon, as far as told.
-    read: Option<Instant>,
+    store_read: Option<Instant>,
     /// By how much this daemon's pauses are longer than at full load.
-    stretch: IntervalScale,
+    interval_scale: IntervalScale,
     /// Of what the fleet was last divided.
-    divided: Option<Division>,
+    layout_inputs: Option<LayoutInputs>,
 }
 
 /// What a division of the fleet follows from.
 #[derive(Debug, PartialEq)]
-struct Division {
+struct LayoutInputs {
     /// Names the list of daemons.
     listing: u64,
     /// Daemons that are heard and not listed.
@@ -104,12 +104,12 @@
             clock,
             layout,
             peers: HashMap::new(),
-            missed: HashMap::new(),
+            unanswered: HashMap::new(),
             sums: Sums::default(),
-            relayed: None,
-            read: None,
-            stretch: IntervalScale::NONE,
-            divided: None,
+            cached_halls_sum: None,
+            store_read: None,
+            interval_scale: IntervalScale::NONE,
+            layout_inputs: None,
         }
     }
 
@@ -133,25 +133,27 @@
         now: Instant,
     ) {
         let is_listed = |addr: &SocketAddr| listing.peers.contains(addr);
-        self.peers.retain(|addr, peer| is_listed(addr) || since(peer.last_seen, now) <= FORGOTTEN);
-        self.sums.forget(now);
+        self.peers.retain(|addr, peer| {
+            is_listed(addr) || elapsed(peer.last_seen, now) <= UNLISTED_LIFETIME
+        });
+        self.sums.remove_expired(now);
         let partners = self.layout.partners();
         let missed: Vec<SocketAddr> =
             partners.filter(|addr| self.is_silent(*addr, tried(*addr), now)).collect();
-        self.missed.retain(|_, at| since(*at, now) <= MISSED);
-        self.missed.extend(missed.into_iter().map(|addr| (addr, now)));
+        self.unanswered.retain(|_, at| elapsed(*at, now) <= UNANSWERED_LIFETIME);
+        self.unanswered.extend(missed.into_iter().map(|addr| (addr, now)));
         let mut unlisted: Vec<SocketAddr> =
             self.peers.keys().copied().filter(|addr| !is_listed(addr)).collect();
         unlisted.sort_unstable();
         // Only those that were heard or greeted can be silent.
         let quiet = |addr: &SocketAddr| self.is_silent(*addr, tried(*addr), now);
-        let known = self.peers.keys().chain(self.missed.keys()).copied();
+        let known = self.peers.keys().chain(self.unanswered.keys()).copied();
         let known = known.chain(self.layout.partners()).collect::<HashSet<SocketAddr>>();
-        let silent = known.into_iter().filter(|a| self.missed.contains_key(a) || quiet(a));
+        let silent = known.into_iter().filter(|a| self.unanswered.contains_key(a) || quiet(a));
         let mut silent: Vec<SocketAddr> = silent.collect();
         silent.sort_unstable();
-        let division = Division { listing: listing.number, unlisted, silent };
-        if self.divided.as_ref() == Some(&division) {
+        let division = LayoutInputs { listing: listing.number, unlisted, silent };
+        if self.layout_inputs.as_ref() == Some(&division) {
             return;
         }
         let mut others = listing.daemons.clone();
@@ -160,12 +162,12 @@
         others.extend(reachable.map(|p| p.daemon.clone()));
         let is_silent = |addr| division.silent.binary_search(&addr).is_ok();
         self.layout = Layout::of(&self.own, &others, is_silent);
-        self.divided = Some(division);
+        self.layout_inputs = Some(division);
     }
 
     /// Sets by how much this daemon's pauses are longer than at full load.
     pub fn set_interval_scale(&mut self, stretch: IntervalScale) {
-        self.stretch = stretch;
+        self.interval_scale = stretch;
     }
 
     /// Time to the next heartbeat to a partner.
@@ -174,21 +176,21 @@
             relation,
             self.layout.is_relay(),
             self.can_reach(to, now),
-            self.stretch,
+            self.interval_scale,
         )
     }
 
     /// Time after a heartbeat before which changes of load are not told.
     pub fn spacing(&self, spacing: Duration) -> Duration {
-        self.stretch.spacing(spacing)
+        self.interval_scale.spacing(spacing)
     }
 
     /// Whether a daemon, which is being greeted since `tried`, does not answer.
     fn is_silent(&self, addr: SocketAddr, tried: Option<Instant>, now: Instant) -> bool {
         let peer = self.peers.get(&addr);
         let from = peer.map(|p| p.last_seen).max(tried);
-        let silent = peer.map_or(SILENT, |p| self.silence(p));
-        from.is_some_and(|from| since(from, now) > silent)
+        let silent = peer.map_or(SILENCE_TIMEOUT, |p| self.silence_timeout(p));
+        from.is_some_and(|from| elapsed(from, now) > silent)
     }
 
     /// Notes a heartbeat, unless a later one of the same process came before it. Says whether it
@@ -206,7 +208,7 @@
         // What can't be dated is told again with the next heartbeat, which can.
         if let Some(sent) = self.clock.earliest_send_time(heartbeat.echo, now) {
             self.note_store_read(heartbeat.store_read_age_ms.and_then(|ms| minus_millis(sent, ms)));
-            self.take_sums(heartbeat, sent, now);
+            self.merge_sums(heartbeat, sent, now);
         }
         let peer = Peer {
             daemon: heartbeat.daemon.clone(),
@@ -214,45 +216,45 @@
             boot: heartbeat.boot,
             stamp: heartbeat.stamp,
             last_seen: now,
-            pause: Duration::from_millis(heartbeat.interval_ms.into()).min(LONGEST_PAUSE),
+            interval: Duration::from_millis(heartbeat.interval_ms.into()).min(MAX_INTERVAL),
             ready: heartbeat.ready,
-            chose: heartbeat.expects_reply,
+            expects_replies: heartbeat.expects_reply,
             cell: heartbeat.cell,
             stats: heartbeat.stats.clone(),
         };
         self.peers.insert(addr, peer);
-        self.missed.remove(&addr);
+        self.unanswered.remove(&addr);
         true
     }
 
     /// Takes in the sums that this daemon does not make itself.
-    fn take_sums(&mut self, heartbeat: &Heartbeat, sent: Instant, now: Instant) {
+    fn merge_sums(&mut self, heartbeat: &Heartbeat, sent: Instant, now: Instant) {
         let own = self.layout.own_cell;
         let way = match heartbeat.cell {
-            cell if cell == own => Way::OwnCell,
-            cell if cell.hall == own.hall => Way::OwnHall,
-            _ => Way::OtherHall,
+            cell if cell == own => SumSource::OwnCell,
+            cell if cell.hall == own.hall => SumSource::OwnHall,
+            _ => SumSource::OtherHall,
         };
         for sum in &heartbeat.sums {
             let wanted = match sum.origin {
                 Origin::Cell(cell) => cell != own && cell.hall == own.hall,
                 Origin::Hall(hall) => hall != own.hall,
-                Origin::OtherHalls => way == Way::OwnCell,
+                Origin::OtherHalls => way == SumSource::OwnCell,
             };
             if wanted {
-                self.sums.take(sum, sent, way, now);
+                self.sums.insert_if_newer(sum, sent, way, now);
             }
         }
     }
 
     /// Notes that some daemon has read the store.
     pub fn note_store_read(&mut self, at: Option<Instant>) {
-        self.read = self.read.max(at);
+        self.store_read = self.store_read.max(at);
     }
 
     /// When the store was last read by any daemon, as far as told.
     pub fn last_store_read(&self) -> Option<Instant> {
-        self.read
+        self.store_read
     }
 
     /// The clock of a daemon, to be returned to it.
@@ -276,13 +278,16 @@
     }
 
     fn is_reachable(&self, peer: &Peer, now: Instant) -> bool {
-        since(peer.last_seen, now) <= self.silence(peer)
+        elapsed(peer.last_seen, now) <= self.silence_timeout(peer)
     }
 
     /// Silence after which a daemon is taken as gone for now.
-    fn silence(&self, peer: &Peer) -> Duration {
+    fn silence_timeout(&self, peer: &Peer) -> Duration {
         let is_near = peer.cell.hall == self.layout.own_cell.hall;
-        partner::silence(peer.pause, if is_near { SILENT } else { FAR_SILENT })
+        partner::silence_timeout(
+            peer.interval,
+            if is_near { SILENCE_TIMEOUT } else { OTHER_HALL_SILENCE_TIMEOUT },
+        )
     }
 
     /// What a daemon is to this one; `None` where no heartbeats are due to it, or it was never heard.
@@ -300,7 +305,7 @@
         let peer = self.peers.get(&addr).filter(|_| self.can_reach(addr, now))?;
         match peer.cell {
             cell if cell == layout.own_cell => Some(Relation::SameCell),
-            _ if !peer.chose => None,
+            _ if !peer.expects_replies => None,
             cell if cell.hall == layout.own_cell.hall => Some(Relation::SameHall),
             _ => Some(Relation::OtherHall),
         }
@@ -317,7 +322,8 @@
     /// How many daemons come before this one in the order in which they read the store: those of
     /// its cell that rank before it, as they would as its relay, and a daemon for each cell of its hall and each hall that does.
     pub fn readers_before(&self, now: Instant) -> usize {
-        let near = self.near(now).filter(|p| rank(&p.daemon) < rank(&self.own)).count();
+        let near =
+            self.reachable_in_cell(now).filter(|p| rank(&p.daemon) < rank(&self.own)).count();
         let cell_before =
             |sum: &&Sum| matches!(sum.origin, Origin::Cell(c) if c < self.layout.own_cell);
         let cells = self.other_cells(now).into_iter().filter(cell_before).count();
@@ -337,8 +343,8 @@
     pub fn entries(&self, now: Instant) -> Vec<SocketAddr> {
         let ready = |p: &&Peer| p.ready;
         let mut entries: Vec<SocketAddr> =
-            self.near(now).filter(ready).map(|p| p.daemon.callers).collect();
-        if entries.len() < LEAST_ENTRIES {
+            self.reachable_in_cell(now).filter(ready).map(|p| p.daemon.callers).collect();
+        if entries.len() < MIN_ENTRIES {
             entries.extend(self.remote_entries(now));
             entries.sort_unstable();
             entries.dedup();
@@ -355,7 +361,7 @@
         now: Instant,
     ) -> Vec<SocketAddr> {
         let mut all: Vec<(Tag, Option<&Peer>)> =
-            self.near(now).map(|p| (p.tag.combined_with(server), Some(p))).collect();
+            self.reachable_in_cell(now).map(|p| (p.tag.combined_with(server), Some(p))).collect();
         all.push((self.tag.combined_with(server), None));
         all.sort_unstable_by_key(|(place, _)| *place);
         let others = all.into_iter().take(count).filter_map(|(_, peer)| peer);
@@ -385,7 +391,7 @@
         let near = relation == Relation::SameCell;
         let layout = &self.layout;
         let chosen = layout.sibling_relays.contains(&to) || layout.hall_relays.contains(&to);
-        let named = self.near(now).map(|p| p.daemon.peers).take(NAMED);
+        let named = self.reachable_in_cell(now).map(|p| p.daemon.peers).take(MAX_PEER_ADDRS);
         Heartbeat {
             daemon: self.own.clone(),
             boot: self.clock.boot(),
@@ -396,7 +402,7 @@
             interval_ms: self.heartbeat_interval(to, relation, now).mul_f64(1.1).as_millis() as u32,
             expects_reply: chosen || relation == Relation::Unknown,
             copy_status: None,
-            store_read_age_ms: self.read.map(|at| millis_between(at, now)),
+            store_read_age_ms: self.store_read.map(|at| millis_between(at, now)),
             store_failure_age_ms: None,
             cell: layout.own_cell,
             peer_addrs: if near { named.collect() } else { Vec::new() },
@@ -418,20 +424,20 @@
         let mut sums = Vec::new();
         match relation {
             Relation::SameCell if self.layout.is_relay() => {
-                let last = pace.pass_on(now);
-                sums.extend(self.sums.passed_on(|origin, _| is_cell(origin), last, now));
+                let last = pace.mark_forwarded(now);
+                sums.extend(self.sums.to_forward(|origin, _| is_cell(origin), last, now));
                 if pace.is_due(relation, now) {
                     sums.extend(self.halls_sum(now));
                 }
             }
             Relation::SameCell if self.layout.relay == Some(to) => {
-                let last = pace.pass_on(now);
-                sums.extend(self.sums.passed_on(|_, way| way != Way::OwnCell, last, now));
+                let last = pace.mark_forwarded(now);
+                sums.extend(self.sums.to_forward(|_, way| way != SumSource::OwnCell, last, now));
             }
             Relation::SameHall => {
-                let last = pace.pass_on(now);
-                let wanted = |origin, way| is_hall(origin) && way != Way::OwnHall;
-                sums.extend(self.sums.passed_on(wanted, last, now));
+                let last = pace.mark_forwarded(now);
+                let wanted = |origin, way| is_hall(origin) && way != SumSource::OwnHall;
+                sums.extend(self.sums.to_forward(wanted, last, now));
                 if pace.is_due(relation, now) {
                     sums.push(self.cell_sum(own, now));
                 }
@@ -444,9 +450,9 @@
 
     /// What this daemon's cell told.
     fn cell_sum(&self, own: &OwnState, now: Instant) -> Sum {
-        let mut adder = Adder::default();
+        let mut adder = SumBuilder::default();
         adder.add_daemon(self.tag, &own.stats, own.ready.then_some(self.own.callers));
-        for peer in self.near(now) {
+        for peer in self.reachable_in_cell(now) {
             adder.add_daemon(peer.tag, &peer.stats, peer.ready.then_some(peer.daemon.callers));
         }
         adder.sum(Origin::Cell(self.layout.own_cell), &self.clock, now)
@@ -454,46 +460,46 @@
 
     /// What this daemon's hall told.
     fn hall_sum(&self, own: &OwnState, now: Instant) -> Sum {
-        let mut adder = Adder::default();
+        let mut adder = SumBuilder::default();
         for cell in self.other_cells(now).into_iter().chain([&self.cell_sum(own, now)]) {
             adder.add_sum(cell);
         }
-        adder.leave_out_light(self.stretch.min_reported_runs());
+        adder.drop_light_loads(self.interval_scale.min_reported_runs());
         adder.sum(Origin::Hall(self.layout.own_cell.hall), &self.clock, now)
     }
 
     /// What other halls told, made anew once in a while; `None` where none did.
     fn halls_sum(&mut self, now: Instant) -> Option<Sum> {
         let age = |sum: &Sum| self.clock.stamp(now).saturating_sub(sum.stamp) / 1_000;
-        let recent = self.relayed.take().filter(|sum| age(sum) < RELAYED_MS);
+        let recent = self.cached_halls_sum.take().filter(|sum| age(sum) < HALLS_SUM_CACHE_MS);
         let sum = recent.or_else(|| self.make_halls_sum(now))?;
-        self.relayed = Some(sum.clone());
+        self.cached_halls_sum = Some(sum.clone());
         // Below the bound above.
         Some(Sum { age_ms: age(&sum) as u32, ..sum })
     }
 
     fn make_halls_sum(&self, now: Instant) -> Option<Sum> {
         let halls = self.other_halls(now);
-        let mut adder = Adder::default();
+        let mut adder = SumBuilder::default();
         halls.iter().for_each(|hall| adder.add_sum(hall));
         (!halls.is_empty()).then(|| adder.sum(Origin::OtherHalls, &self.clock, now))
     }
 
     /// What the other daemons told of servers, and of requests under which servers ended.
     pub fn peer_stats(&self, now: Instant) -> PeerStats {
-        let mut adder = Adder::default();
-        self.near(now).for_each(|peer| adder.add(&peer.stats));
-        for sum in self.distant(now) {
+        let mut adder = SumBuilder::default();
+        self.reachable_in_cell(now).for_each(|peer| adder.add(&peer.stats));
+        for sum in self.distant_sums(now) {
             adder.add(&sum.stats);
         }
-        let Adder { loads, outcomes, evidence, rollouts, .. } = adder;
+        let SumBuilder { loads, outcomes, evidence, rollouts, .. } = adder;
         PeerStats { loads, outcomes, evidence, rollouts }
     }
 
     /// What the daemons of the same cell that rank before this one have running at a server.
     pub fn higher_ranked_load(&self, server: Tag, now: Instant) -> Load {
         let mut ahead = Load::default();
-        for peer in self.near(now).filter(|peer| peer.tag < self.tag) {
+        for peer in self.reachable_in_cell(now).filter(|peer| peer.tag < self.tag) {
             let there = peer.stats.loads.iter().filter(|(tag, _)| *tag == server);
             there.for_each(|(_, load)| ahead += *load);
         }
@@ -505,7 +511,7 @@
     pub fn spent(&self, listed: usize, now: Instant) -> Others {
         let mut spent = HashMap::new();
         let mut near = CellPeers { own: self.tag, ..CellPeers::default() };
-        for peer in self.near(now) {
+        for peer in self.reachable_in_cell(now) {
             near.others.push(peer.tag);
             add(&mut near.spent, &peer.stats.spent);
         }
@@ -513,11 +519,12 @@
         for (service, own) in &near.spent {
             spent.insert(*service, *own);
         }
-        for sum in self.distant(now) {
+        for sum in self.distant_sums(now) {
             reachable += sum.daemons as usize;
             add(&mut spent, &sum.stats.spent);
         }
-        let lately = self.peers.values().filter(|p| since(p.last_seen, now) <= FORGOTTEN).count();
+        let lately =
+            self.peers.values().filter(|p| elapsed(p.last_seen, now) <= UNLISTED_LIFETIME).count();
         Others { daemons: listed.max(lately).max(reachable), reachable, spent, cell_peers: near }
     }
 
@@ -525,7 +532,7 @@
     pub fn summarized_fraction(&self, now: Instant) -> f64 {
         let count = |sums: Vec<&Sum>| sums.iter().map(|sum| sum.daemons).sum::<u32>();
         let (late, far) = (count(self.other_cells(now)), count(self.other_halls(now)));
-        let near = 1 + self.near(now).count();
+        let near = 1 + self.reachable_in_cell(now).count();
         f64::from(late) / (f64::from(late) + f64::from(far) + near as f64)
     }
 
@@ -535,14 +542,14 @@
     }
 
     /// The daemons of this cell that are heard.
-    fn near(&self, now: Instant) -> impl Iterator<Item = &Peer> {
+    fn reachable_in_cell(&self, now: Instant) -> impl Iterator<Item = &Peer> {
         let same = self.peers.values().filter(|p| p.cell == self.layout.own_cell);
         same.filter(move |p| self.is_reachable(p, now))
     }
 
     /// Sums of the hall's other cells.
     fn other_cells(&self, now: Instant) -> Vec<&Sum> {
-        let near = self.near(now).map(|p| p.tag).chain([self.tag]).collect();
+        let near = self.reachable_in_cell(now).map(|p| p.tag).chain([self.tag]).collect();
         self.sums.cells(self.layout.own_cell, near, now)
     }
 
@@ -552,7 +559,7 @@
     }
 
     /// Sums of all daemons but those of this cell.
-    fn distant(&self, now: Instant) -> impl Iterator<Item = &Sum> {
+    fn distant_sums(&self, now: Instant) -> impl Iterator<Item = &Sum> {
         self.other_cells(now).into_iter().chain(self.other_halls(now))
     }
 }
@@ -565,6 +572,6 @@
     matches!(origin, Origin::Hall(_))
 }
 
-fn since(then: Instant, now: Instant) -> Duration {
+fn elapsed(then: Instant, now: Instant) -> Duration {
     now.saturating_duration_since(then)
 }
