--- a/src/gateway/cell.rs
+++ b/src/gateway/cell.rs
@@ -56,33 +56,33 @@
         let divided = others.len() + 1 > MAX_UNDIVIDED;
         let in_hall = others.iter().filter(|d| !divided || d.hall == own.hall).chain([own]);
         let cells = cells(in_hall.collect());
-        let part = cells.iter().position(|cell| cell.iter().any(|d| d.vm == own.vm)).unwrap_or(0);
-        let near: Vec<&Daemon> = cells[part].iter().copied().filter(|d| d.vm != own.vm).collect();
-        let before = near.iter().filter(|d| !is_silent(d.peers) && rank(d) < rank(own));
-        let through = before.min_by_key(|d| rank(d)).map(|d| d.peers).filter(|_| divided);
+        let index = cells.iter().position(|cell| cell.iter().any(|d| d.vm == own.vm)).unwrap_or(0);
+        let near: Vec<&Daemon> = cells[index].iter().copied().filter(|d| d.vm != own.vm).collect();
+        let better_ranked = near.iter().filter(|d| !is_silent(d.peers) && rank(d) < rank(own));
+        let relay = better_ranked.min_by_key(|d| rank(d)).map(|d| d.peers).filter(|_| divided);
         let hall = Tag::of(if divided { &own.hall } else { "" });
         let mut layout = Layout {
             // Halls have far fewer cells than 2^32.
-            own_cell: CellId { hall, index: part as u32 },
+            own_cell: CellId { hall, index: index as u32 },
             cell_peers: near.into_iter().map(|d| d.peers).collect(),
-            relay: through,
+            relay,
             sibling_relays: HashSet::new(),
             hall_relays: HashSet::new(),
             divided,
         };
         if layout.is_relay() {
-            let siblings = cells.iter().enumerate().filter(|(i, _)| *i != part);
+            let siblings = cells.iter().enumerate().filter(|(i, _)| *i != index);
             layout.sibling_relays =
                 siblings.filter_map(|(_, cell)| presumed_relay(cell, &is_silent)).collect();
-            let duties = other_halls(own, others)
+            let pairs = other_halls(own, others)
                 .into_iter()
                 .map(|(other, daemons)| (pair_hash(hall, other), daemons))
-                .filter(|(duty, _)| duty % cells.len() as u64 == part as u64);
-            let reached = duties.filter_map(|(duty, daemons)| {
-                let theirs = self::cells(daemons);
-                presumed_relay(&theirs[(duty % theirs.len() as u64) as usize], &is_silent)
+                .filter(|(hash, _)| hash % cells.len() as u64 == index as u64);
+            let relays = pairs.filter_map(|(hash, daemons)| {
+                let their_cells = self::cells(daemons);
+                presumed_relay(&their_cells[(hash % their_cells.len() as u64) as usize], &is_silent)
             });
-            layout.hall_relays = reached.collect();
+            layout.hall_relays = relays.collect();
         }
         layout
     }
--- a/src/gateway/clock.rs
+++ b/src/gateway/clock.rs
@@ -51,8 +51,8 @@
     /// no clock, or another one.
     pub fn earliest_send_time(&self, echo: Option<Echo>, now: Instant) -> Option<Instant> {
         let echo = echo.filter(|echo| echo.boot == self.boot)?;
-        let shown = Duration::from_micros(echo.stamp.checked_add(echo.held_us)?);
-        self.started.checked_add(shown).filter(|sent| *sent <= now)
+        let echoed = Duration::from_micros(echo.stamp.checked_add(echo.held_us)?);
+        self.started.checked_add(echoed).filter(|sent| *sent <= now)
     }
 }
 
--- a/src/gateway/cluster.rs
+++ b/src/gateway/cluster.rs
@@ -114,8 +114,8 @@
     ) -> Arc<Cluster> {
         let clock = Clock::new(rand::rng().random(), time::now());
         let view = View::new(roster.own().clone(), clock);
-        let cluster = Arc::new_cyclic(|own| Cluster {
-            weak_self: own.clone(),
+        let cluster = Arc::new_cyclic(|weak| Cluster {
+            weak_self: weak.clone(),
             gateway,
             mirror,
             roster,
@@ -132,8 +132,8 @@
             behind_since: Mutex::default(),
             update_permits: Semaphore::new(MAX_CONCURRENT_UPDATES),
         });
-        let hearing = Arc::downgrade(&cluster);
-        cluster.gateway.set_peer_source(hearing);
+        let weak = Arc::downgrade(&cluster);
+        cluster.gateway.set_peer_source(weak);
         cluster
     }
 
@@ -185,8 +185,8 @@
         }
         let turn = READ_STEP.saturating_mul(u32::try_from(before).unwrap_or(u32::MAX));
         let report_delay = if view.layout().divided { REPORT_DELAY } else { Duration::ZERO };
-        let lately = RECENT_READ + report_delay + turn.min(MAX_READ_DELAY);
-        read.is_none_or(|read| now.saturating_duration_since(read) > lately)
+        let max_age = RECENT_READ + report_delay + turn.min(MAX_READ_DELAY);
+        read.is_none_or(|read| now.saturating_duration_since(read) > max_age)
     }
 
     /// The hall of this daemon.
@@ -239,11 +239,11 @@
     fn refresh_layout(&self, now: Instant) {
         let (listing, rank) = self.roster.listing();
         let count = listing.daemons.len();
-        let stretch = IntervalScale::of(self.gateway.request_gap(now));
-        let greeted = self.peer_tasks.lock().expect("no holder panics").clone();
+        let interval_scale = IntervalScale::of(self.gateway.request_gap(now));
+        let tasks = self.peer_tasks.lock().expect("no holder panics").clone();
         let mut view = self.view();
-        view.update_layout(&listing, |addr| greeted.get(&addr).copied(), now);
-        view.set_interval_scale(stretch);
+        view.update_layout(&listing, |addr| tasks.get(&addr).copied(), now);
+        view.set_interval_scale(interval_scale);
         self.gateway.metrics.peers.set(view.count(now) as i64);
         self.gateway.set_others(view.spent(count, now));
         self.gateway.set_divided(view.layout().divided);
@@ -271,8 +271,8 @@
             let seeds = self.seeds.lock().expect("no holder panics");
             wanted.extend(seeds.iter().copied().filter(unknown));
         }
-        let mut named = self.announced.lock().expect("no holder panics");
-        wanted.extend(named.drain(..).filter(unknown));
+        let mut announced = self.announced.lock().expect("no holder panics");
+        wanted.extend(announced.drain(..).filter(unknown));
         wanted
     }
 
@@ -286,14 +286,14 @@
     /// What a daemon is to this one; `None` where no heartbeats are due to it.
     fn relation(&self, addr: SocketAddr, now: Instant) -> Option<Relation> {
         let view = self.view();
-        let stranger = || {
-            let greeted = self.peer_tasks.lock().expect("no holder panics").get(&addr).copied();
-            let lately =
-                greeted.is_none_or(|at| now.saturating_duration_since(at) < UNKNOWN_PEER_LIFETIME);
-            let is_met = lately || self.needs_seeds(&view, now);
-            (is_met && self.is_unknown(&view, addr)).then_some(Relation::Unknown)
+        let unknown_peer = || {
+            let started = self.peer_tasks.lock().expect("no holder panics").get(&addr).copied();
+            let is_recent =
+                started.is_none_or(|at| now.saturating_duration_since(at) < UNKNOWN_PEER_LIFETIME);
+            let is_due = is_recent || self.needs_seeds(&view, now);
+            (is_due && self.is_unknown(&view, addr)).then_some(Relation::Unknown)
         };
-        view.relation(addr, now).or_else(stranger)
+        view.relation(addr, now).or_else(unknown_peer)
     }
 
     /// Whether an address is neither listed by the store nor heard.
@@ -306,12 +306,12 @@
         if addr == self.roster.own().peers {
             return;
         }
-        let mut greeted = self.peer_tasks.lock().expect("no holder panics");
-        if greeted.contains_key(&addr) {
+        let mut tasks = self.peer_tasks.lock().expect("no holder panics");
+        if tasks.contains_key(&addr) {
             return;
         }
-        greeted.insert(addr, time::now());
-        drop(greeted);
+        tasks.insert(addr, time::now());
+        drop(tasks);
         let cluster = self.clone();
         tokio::spawn(async move {
             cluster.send_heartbeats(addr, &cluster.handler()).await;
@@ -320,37 +320,43 @@
     }
 
     async fn send_heartbeats(self: &Arc<Self>, addr: SocketAddr, handler: &Arc<dyn Handler>) {
-        let (mut news, mut loads) = (self.gateway.urgent_changes(), self.gateway.load_changes());
+        let (mut urgent, mut loads) = (self.gateway.urgent_changes(), self.gateway.load_changes());
         let mut copy = self.gateway.copy_changes();
-        let mut pace = SumSchedule::default();
+        let mut schedule = SumSchedule::default();
         loop {
             let now = time::now();
             let Some(relation) = self.relation(addr, now) else {
                 return;
             };
-            let heartbeat = self.heartbeat(addr, relation, &mut pace, now);
+            let heartbeat = self.heartbeat(addr, relation, &mut schedule, now);
             // What changes from here on is not in this heartbeat.
-            news.mark_unchanged();
+            urgent.mark_unchanged();
             loads.mark_unchanged();
             copy.mark_unchanged();
             self.links.tell(addr, &heartbeat, handler).await;
-            let (heard, pause, spacing, forwards) = {
+            let (is_reachable, interval, spacing, forwards) = {
                 let (view, now) = (self.view(), time::now());
-                let heard = view.can_reach(addr, now);
-                let (pause, spacing) = (
+                let is_reachable = view.can_reach(addr, now);
+                let (interval, spacing) = (
                     view.heartbeat_interval(addr, relation, now),
                     view.spacing(LOAD_UPDATE_INTERVAL),
                 );
-                (heard, pause, spacing, heard && self.forwards_store_changes(&view, now))
+                (
+                    is_reachable,
+                    interval,
+                    spacing,
+                    is_reachable && self.forwards_store_changes(&view, now),
+                )
             };
-            let pause = pause.mul_f64(rand::rng().random_range(0.9..1.1));
-            let near = heard && relation == Relation::SameCell && spacing < pause;
+            let interval = interval.mul_f64(rand::rng().random_range(0.9..1.1));
+            let reports_loads =
+                is_reachable && relation == Relation::SameCell && spacing < interval;
             tokio::select! {
-                () = sleep(pause) => {}
+                () = sleep(interval) => {}
                 // News goes out at once.
-                told = news.changed(), if heard => if told.is_err() { return },
-                told = copy.changed(), if forwards => if told.is_err() { return },
-                () = changed_after(&mut loads, now + spacing), if near => {}
+                result = urgent.changed(), if is_reachable => if result.is_err() { return },
+                result = copy.changed(), if forwards => if result.is_err() { return },
+                () = changed_after(&mut loads, now + spacing), if reports_loads => {}
             }
         }
     }
@@ -368,7 +374,7 @@
         &self,
         to: SocketAddr,
         relation: Relation,
-        pace: &mut SumSchedule,
+        schedule: &mut SumSchedule,
         now: Instant,
     ) -> Heartbeat {
         let mut view = self.view();
@@ -390,7 +396,7 @@
             copy_status: self.mirror.copy_status(now),
             store_failure_age_ms: self.mirror.last_failure().map(|at| millis_between(at, now)),
             observations,
-            ..view.heartbeat(to, relation, own, pace, now)
+            ..view.heartbeat(to, relation, own, schedule, now)
         }
     }
 
@@ -405,13 +411,13 @@
         self.gateway.servers().merge_observations(&heartbeat.observations, sent, now);
         self.merge_store_ages(&heartbeat, sent, now);
         self.announced.lock().expect("no holder panics").extend(heartbeat.peer_addrs);
-        let Some(statement) = heartbeat.copy_status else {
+        let Some(copy_status) = heartbeat.copy_status else {
             return;
         };
-        let seen = sent.and_then(|sent| minus_millis(sent, statement.age_ms));
-        let lack = match seen {
-            Some(seen) => self.mirror.hear(statement, seen, now),
-            None => self.mirror.lack(&statement),
+        let confirmed_at = sent.and_then(|sent| minus_millis(sent, copy_status.age_ms));
+        let lack = match confirmed_at {
+            Some(confirmed_at) => self.mirror.hear(copy_status, confirmed_at, now),
+            None => self.mirror.lack(&copy_status),
         };
         if lack == Lack::Nothing {
             return;
@@ -465,16 +471,16 @@
             .links
             .ask_large::<Option<Update>>(from, &request, limits, &handler, progress)
             .await;
-        let Ok(given) = answer else {
+        let Ok(received) = answer else {
             warn!(peer = from.to_string().as_str(); "peer did not give what it has");
             return None;
         };
-        let update = given?;
+        let update = received?;
         // Before this process's clock began, nothing can have been seen.
-        let seen = minus_millis(asked, update.copy_status.age_ms)
+        let confirmed_at = minus_millis(asked, update.copy_status.age_ms)
             .unwrap_or_else(|| self.view().clock().started());
         let complete = update.complete;
-        self.mirror.apply(update, seen, time::now());
+        self.mirror.apply(update, confirmed_at, time::now());
         if complete {
             *self.behind_since.lock().expect("no holder panics") = None;
         }
--- a/src/gateway/partner.rs
+++ b/src/gateway/partner.rs
@@ -71,8 +71,8 @@
 }
 
 /// Silence after which a daemon that sends heartbeats so often is taken as gone; not below `least`.
-pub fn silence_timeout(pause: Duration, least: Duration) -> Duration {
-    least.max(pause.mul_f64(SILENT_HEARTBEATS))
+pub fn silence_timeout(interval: Duration, least: Duration) -> Duration {
+    least.max(interval.mul_f64(SILENT_HEARTBEATS))
 }
 
 /// What a daemon is to another one.
@@ -91,16 +91,16 @@
 /// When a heartbeat is due to a partner, as told by whether this daemon is a relay and hears it.
 pub fn heartbeat_interval(
     relation: Relation,
-    relay: bool,
-    heard: bool,
-    stretch: IntervalScale,
+    is_relay: bool,
+    is_reachable: bool,
+    scale: IntervalScale,
 ) -> Duration {
     match relation {
-        _ if !heard => RETRY_INTERVAL,
-        Relation::SameCell if relay => stretch.apply(RELAY_HEARTBEAT, MAX_RELAY_HEARTBEAT),
-        Relation::SameCell => stretch.apply(HEARTBEAT, MAX_HEARTBEAT),
+        _ if !is_reachable => RETRY_INTERVAL,
+        Relation::SameCell if is_relay => scale.apply(RELAY_HEARTBEAT, MAX_RELAY_HEARTBEAT),
+        Relation::SameCell => scale.apply(HEARTBEAT, MAX_HEARTBEAT),
         Relation::SameHall | Relation::OtherHall | Relation::Unknown => {
-            stretch.apply(CONTACT_HEARTBEAT, MAX_CONTACT_HEARTBEAT)
+            scale.apply(CONTACT_HEARTBEAT, MAX_CONTACT_HEARTBEAT)
         }
     }
 }
--- a/src/gateway/sums.rs
+++ b/src/gateway/sums.rs
@@ -54,11 +54,11 @@
 
 impl StoredSum {
     fn is_current(&self, now: Instant) -> bool {
-        let lapse = match self.sum.origin {
+        let lifetime = match self.sum.origin {
             Origin::Cell(_) => CELL_SUM_LIFETIME,
             Origin::Hall(_) | Origin::OtherHalls => HALL_SUM_LIFETIME,
         };
-        now.saturating_duration_since(self.made) <= lapse
+        now.saturating_duration_since(self.made) <= lifetime
     }
 }
 
@@ -74,13 +74,13 @@
         &mut self,
         sum: &Sum,
         sent: Instant,
-        way: SumSource,
+        source: SumSource,
         now: Instant,
     ) {
         let Some(made) = minus_millis(sent, sum.age_ms) else {
             return;
         };
-        let stored = StoredSum { sum: sum.clone(), made, received: now, source: way };
+        let stored = StoredSum { sum: sum.clone(), made, received: now, source };
         let newer =
             self.by_origin.get(&sum.origin).is_none_or(|known| match known.sum.boot == sum.boot {
                 true => known.sum.stamp < sum.stamp,
@@ -123,12 +123,12 @@
     /// Sums of other halls: for a relay each hall's own, for its cell what the relay made of them. A
     /// daemon that has just become a relay, or has just lost its own, has the other ones for a while.
     pub(crate) fn halls(&self, relay: bool, now: Instant) -> Vec<&Sum> {
-        let counts = self
+        let current = self
             .by_origin
             .values()
             .filter(|stored| stored.is_current(now))
             .map(|stored| &stored.sum);
-        let (halls, others): (Vec<&Sum>, Vec<&Sum>) = counts
+        let (halls, others): (Vec<&Sum>, Vec<&Sum>) = current
             .filter(|sum| !matches!(sum.origin, Origin::Cell(_)))
             .partition(|sum| matches!(sum.origin, Origin::Hall(_)));
         let (first, second) = if relay { (halls, others) } else { (others, halls) };
@@ -142,10 +142,10 @@
         last: Option<Instant>,
         now: Instant,
     ) -> impl Iterator<Item = Sum> {
-        let came =
+        let selected =
             self.by_origin.values().filter(move |stored| wanted(stored.sum.origin, stored.source));
         let fresh =
-            came.filter(move |stored| stored.is_current(now) && Some(stored.received) > last);
+            selected.filter(move |stored| stored.is_current(now) && Some(stored.received) > last);
         fresh.map(move |stored| Sum {
             age_ms: millis_between(stored.made, now),
             ..stored.sum.clone()
@@ -187,9 +187,9 @@
     }
 
     /// Adds one daemon's word; `entry` is where callers may be sent to it.
-    pub(crate) fn add_daemon(&mut self, name: Tag, stats: &DaemonStats, entry: Option<SocketAddr>) {
+    pub(crate) fn add_daemon(&mut self, tag: Tag, stats: &DaemonStats, entry: Option<SocketAddr>) {
         self.add(stats);
-        self.members.push(name);
+        self.members.push(tag);
         self.daemons += 1;
         self.entries.extend(entry);
     }
@@ -203,8 +203,8 @@
     }
 
     /// Leaves out servers with fewer requests than so many.
-    pub(crate) fn drop_light_loads(&mut self, least: u32) {
-        self.loads.retain(|_, load| load.runs >= least);
+    pub(crate) fn drop_light_loads(&mut self, min_runs: u32) {
+        self.loads.retain(|_, load| load.runs >= min_runs);
     }
 
     /// The sum, made now by the process of that clock.
@@ -242,9 +242,9 @@
 /// Adds parts to sums by name.
 pub(crate) fn add<K: Copy + Eq + Hash, T: Default + AddAssign + Copy>(
     sums: &mut HashMap<K, T>,
-    parts: &[(K, T)],
+    values: &[(K, T)],
 ) {
-    for (name, part) in parts {
-        *sums.entry(*name).or_default() += *part;
+    for (key, value) in values {
+        *sums.entry(*key).or_default() += *value;
     }
 }
--- a/src/gateway/view.rs
+++ b/src/gateway/view.rs
@@ -138,18 +138,19 @@
         });
         self.sums.remove_expired(now);
         let partners = self.layout.partners();
-        let missed: Vec<SocketAddr> =
+        let unanswered: Vec<SocketAddr> =
             partners.filter(|addr| self.is_silent(*addr, tried(*addr), now)).collect();
         self.unanswered.retain(|_, at| elapsed(*at, now) <= UNANSWERED_LIFETIME);
-        self.unanswered.extend(missed.into_iter().map(|addr| (addr, now)));
+        self.unanswered.extend(unanswered.into_iter().map(|addr| (addr, now)));
         let mut unlisted: Vec<SocketAddr> =
             self.peers.keys().copied().filter(|addr| !is_listed(addr)).collect();
         unlisted.sort_unstable();
         // Only those that were heard or greeted can be silent.
-        let quiet = |addr: &SocketAddr| self.is_silent(*addr, tried(*addr), now);
+        let is_silent_now = |addr: &SocketAddr| self.is_silent(*addr, tried(*addr), now);
         let known = self.peers.keys().chain(self.unanswered.keys()).copied();
         let known = known.chain(self.layout.partners()).collect::<HashSet<SocketAddr>>();
-        let silent = known.into_iter().filter(|a| self.unanswered.contains_key(a) || quiet(a));
+        let silent =
+            known.into_iter().filter(|a| self.unanswered.contains_key(a) || is_silent_now(a));
         let mut silent: Vec<SocketAddr> = silent.collect();
         silent.sort_unstable();
         let division = LayoutInputs { listing: listing.number, unlisted, silent };
@@ -166,8 +167,8 @@
     }
 
     /// Sets by how much this daemon's pauses are longer than at full load.
-    pub fn set_interval_scale(&mut self, stretch: IntervalScale) {
-        self.interval_scale = stretch;
+    pub fn set_interval_scale(&mut self, scale: IntervalScale) {
+        self.interval_scale = scale;
     }
 
     /// Time to the next heartbeat to a partner.
@@ -188,9 +189,9 @@
     /// Whether a daemon, which is being greeted since `tried`, does not answer.
     fn is_silent(&self, addr: SocketAddr, tried: Option<Instant>, now: Instant) -> bool {
         let peer = self.peers.get(&addr);
-        let from = peer.map(|p| p.last_seen).max(tried);
+        let since = peer.map(|p| p.last_seen).max(tried);
         let silent = peer.map_or(SILENCE_TIMEOUT, |p| self.silence_timeout(p));
-        from.is_some_and(|from| elapsed(from, now) > silent)
+        since.is_some_and(|since| elapsed(since, now) > silent)
     }
 
     /// Notes a heartbeat, unless a later one of the same process came before it. Says whether it
@@ -230,7 +231,7 @@
     /// Takes in the sums that this daemon does not make itself.
     fn merge_sums(&mut self, heartbeat: &Heartbeat, sent: Instant, now: Instant) {
         let own = self.layout.own_cell;
-        let way = match heartbeat.cell {
+        let source = match heartbeat.cell {
             cell if cell == own => SumSource::OwnCell,
             cell if cell.hall == own.hall => SumSource::OwnHall,
             _ => SumSource::OtherHall,
@@ -239,10 +240,10 @@
             let wanted = match sum.origin {
                 Origin::Cell(cell) => cell != own && cell.hall == own.hall,
                 Origin::Hall(hall) => hall != own.hall,
-                Origin::OtherHalls => way == SumSource::OwnCell,
+                Origin::OtherHalls => source == SumSource::OwnCell,
             };
             if wanted {
-                self.sums.insert_if_newer(sum, sent, way, now);
+                self.sums.insert_if_newer(sum, sent, source, now);
             }
         }
     }
@@ -324,9 +325,9 @@
     pub fn readers_before(&self, now: Instant) -> usize {
         let near =
             self.reachable_in_cell(now).filter(|p| rank(&p.daemon) < rank(&self.own)).count();
-        let cell_before =
+        let precedes_own =
             |sum: &&Sum| matches!(sum.origin, Origin::Cell(c) if c < self.layout.own_cell);
-        let cells = self.other_cells(now).into_iter().filter(cell_before).count();
+        let cells = self.other_cells(now).into_iter().filter(precedes_own).count();
         let halls: Vec<Tag> = self.other_halls(now).into_iter().flat_map(halls_of).collect();
         near + cells + halls.into_iter().filter(|hall| *hall < self.layout.own_cell.hall).count()
     }
@@ -334,8 +335,8 @@
     /// The place of this daemon in the order in which all daemons begin to ask a store that doesn't
     /// answer, among `others` and itself. It is derived from its name alone: who is heard doesn't matter.
     pub fn store_retry_turn(&self, others: usize) -> u32 {
-        let drawn = self.tag.value() as f64 / u64::MAX as f64;
-        (drawn * (others + 1) as f64) as u32
+        let fraction = self.tag.value() as f64 / u64::MAX as f64;
+        (fraction * (others + 1) as f64) as u32
     }
 
     /// Where callers may be sent, this daemon not among them: to its own cell, and further where the
@@ -372,9 +373,9 @@
     pub fn remote_entries(&self, now: Instant) -> Vec<SocketAddr> {
         let others = self.peers.values().filter(|p| p.cell != self.layout.own_cell);
         let reachable = others.filter(|p| p.ready && self.is_reachable(p, now));
-        let told = self.other_cells(now).into_iter().chain(self.other_halls(now));
-        let told = told.flat_map(|sum| sum.entries.iter().copied());
-        reachable.map(|p| p.daemon.callers).chain(told).collect()
+        let from_sums = self.other_cells(now).into_iter().chain(self.other_halls(now));
+        let from_sums = from_sums.flat_map(|sum| sum.entries.iter().copied());
+        reachable.map(|p| p.daemon.callers).chain(from_sums).collect()
     }
 
     /// A heartbeat to such a partner, with what this daemon knows of others; nothing yet of the store and
@@ -384,14 +385,14 @@
         to: SocketAddr,
         relation: Relation,
         own: OwnState,
-        pace: &mut SumSchedule,
+        schedule: &mut SumSchedule,
         now: Instant,
     ) -> Heartbeat {
-        let sums = self.sums_for(to, relation, &own, pace, now);
+        let sums = self.sums_for(to, relation, &own, schedule, now);
         let near = relation == Relation::SameCell;
         let layout = &self.layout;
         let chosen = layout.sibling_relays.contains(&to) || layout.hall_relays.contains(&to);
-        let named = self.reachable_in_cell(now).map(|p| p.daemon.peers).take(MAX_PEER_ADDRS);
+        let peer_addrs = self.reachable_in_cell(now).map(|p| p.daemon.peers).take(MAX_PEER_ADDRS);
         Heartbeat {
             daemon: self.own.clone(),
             boot: self.clock.boot(),
@@ -405,7 +406,7 @@
             store_read_age_ms: self.store_read.map(|at| millis_between(at, now)),
             store_failure_age_ms: None,
             cell: layout.own_cell,
-            peer_addrs: if near { named.collect() } else { Vec::new() },
+            peer_addrs: if near { peer_addrs.collect() } else { Vec::new() },
             sums,
             stats: if near { own.stats } else { DaemonStats::default() },
             observations: Observations::default(),
@@ -418,31 +419,37 @@
         to: SocketAddr,
         relation: Relation,
         own: &OwnState,
-        pace: &mut SumSchedule,
+        schedule: &mut SumSchedule,
         now: Instant,
     ) -> Vec<Sum> {
         let mut sums = Vec::new();
         match relation {
             Relation::SameCell if self.layout.is_relay() => {
-                let last = pace.mark_forwarded(now);
+                let last = schedule.mark_forwarded(now);
                 sums.extend(self.sums.to_forward(|origin, _| is_cell(origin), last, now));
-                if pace.is_due(relation, now) {
+                if schedule.is_due(relation, now) {
                     sums.extend(self.halls_sum(now));
                 }
             }
             Relation::SameCell if self.layout.relay == Some(to) => {
-                let last = pace.mark_forwarded(now);
-                sums.extend(self.sums.to_forward(|_, way| way != SumSource::OwnCell, last, now));
+                let last = schedule.mark_forwarded(now);
+                sums.extend(self.sums.to_forward(
+                    |_, source| source != SumSource::OwnCell,
+                    last,
+                    now,
+                ));
             }
             Relation::SameHall => {
-                let last = pace.mark_forwarded(now);
-                let wanted = |origin, way| is_hall(origin) && way != SumSource::OwnHall;
+                let last = schedule.mark_forwarded(now);
+                let wanted = |origin, source| is_hall(origin) && source != SumSource::OwnHall;
                 sums.extend(self.sums.to_forward(wanted, last, now));
-                if pace.is_due(relation, now) {
+                if schedule.is_due(relation, now) {
                     sums.push(self.cell_sum(own, now));
                 }
             }
-            Relation::OtherHall if pace.is_due(relation, now) => sums.push(self.hall_sum(own, now)),
+            Relation::OtherHall if schedule.is_due(relation, now) => {
+                sums.push(self.hall_sum(own, now))
+            }
             Relation::SameCell | Relation::OtherHall | Relation::Unknown => {}
         }
         sums
@@ -500,8 +507,8 @@
     pub fn higher_ranked_load(&self, server: Tag, now: Instant) -> Load {
         let mut ahead = Load::default();
         for peer in self.reachable_in_cell(now).filter(|peer| peer.tag < self.tag) {
-            let there = peer.stats.loads.iter().filter(|(tag, _)| *tag == server);
-            there.for_each(|(_, load)| ahead += *load);
+            let at_server = peer.stats.loads.iter().filter(|(tag, _)| *tag == server);
+            at_server.for_each(|(_, load)| ahead += *load);
         }
         ahead
     }
@@ -523,9 +530,9 @@
             reachable += sum.daemons as usize;
             add(&mut spent, &sum.stats.spent);
         }
-        let lately =
+        let recent =
             self.peers.values().filter(|p| elapsed(p.last_seen, now) <= UNLISTED_LIFETIME).count();
-        Others { daemons: listed.max(lately).max(reachable), reachable, spent, cell_peers: near }
+        Others { daemons: listed.max(recent).max(reachable), reachable, spent, cell_peers: near }
     }
 
     /// The share of all daemons that are of this hall and are heard through sums.
--- a/tests/limits/play.rs
+++ b/tests/limits/play.rs
@@ -50,7 +50,7 @@
     pub servers: Servers,
     pub key: ServerKey,
     pub budget: SharedRetryBudget,
-    /// When it sent requests there lately, for [`SumSource::Counted`].
+    /// When it sent requests there lately, for [`Way::Counted`].
     pub sent: VecDeque<Instant>,
 }
 
