--- a/src/gateway/cell.rs
+++ b/src/gateway/cell.rs
@@ -1,16 +1,18 @@
-//! Which daemons tell each other everything, and which pass on sums.
+//! The division of a fleet into cells: which daemons exchange their own figures, and which forward
+//! sums.
 //!
-//! A small fleet is one cell: every daemon hears every other one. A larger fleet is divided into
-//! cells by hall, and a hall with many daemons into several of even size. Within a cell daemons tell
-//! each other their own loads. One daemon of each cell, its relay, tells the sum of the cell to the
-//! relays of the hall's other cells; for each other hall, the relay of one cell tells the sum of the
-//! hall to a relay there; and each relay passes on to its cell what it hears. A daemon that others take
-//! for a relay gives what it is told to the one that is. So a daemon's messages
-//! are bounded by the size of a cell, a relay's also by the number of halls, and each pair of halls is
-//! crossed by one pair of daemons.
+//! A small fleet is one cell, in which every daemon sends heartbeats to every other one. A larger
+//! fleet is divided into cells by hall, and a hall with many daemons into several cells of even
+//! size. Within a cell, daemons report their own loads to each other. One daemon of each cell, its
+//! relay, sends the sum of the cell to the relays of the hall's other cells. For each other hall,
+//! the relay of one cell sends the sum of its hall to a relay there. Each relay forwards to its
+//! cell what it receives. A daemon that others mistake for the relay forwards what they send to the
+//! actual one. So the number of a daemon's messages is bounded by the size of a cell, that of a
+//! relay's also by the number of halls, and only one pair of daemons communicates between each pair
+//! of halls.
 //!
-//! Nothing is agreed upon: each daemon derives the division from the daemons that it knows, and
-//! says in which cell it sees itself; it counts there and nowhere else.
+//! No consensus is needed: each daemon derives the division from the daemons that it knows and
+//! reports its own cell; the others count it in that cell only.
 
 use crate::gateway::roster::Daemon;
 use crate::gateway::tag::Tag;
@@ -19,39 +21,41 @@
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
 
-/// Daemons up to which a fleet is one cell, below [`MAX_CELL_SIZE`]: twice the users' small deployments.
+/// Maximum size of a fleet that is one cell, below [`MAX_CELL_SIZE`]: twice the size of the small
+/// deployments.
 pub const MAX_UNDIVIDED: usize = 14;
-/// Daemons of one hall up to which the hall is one cell. A cell's heartbeats are its size squared.
+/// Maximum number of daemons in a cell. The number of heartbeats within a cell grows with the
+/// square of its size.
 pub const MAX_CELL_SIZE: usize = 20;
 
-/// A cell.
+/// Identifies a cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CellId {
-    /// The hall's name; no name where the whole fleet is one cell.
+    /// The tag of the hall's name; that of the empty string if the whole fleet is one cell.
     pub hall: Tag,
     index: u32,
 }
 
-/// How a daemon sees the fleet divided.
+/// The division of the fleet as one daemon sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Layout {
-    /// Its own cell.
+    /// The daemon's own cell.
     pub own_cell: CellId,
-    /// The daemons of its cell, itself not among them.
+    /// The other daemons of its cell.
     pub cell_peers: HashSet<SocketAddr>,
-    /// The cell's relay where that is another daemon.
+    /// The cell's relay, if that is another daemon.
     pub relay: Option<SocketAddr>,
-    /// Relays of the hall's other cells, which a relay tells the sum of its own.
+    /// The relays of the hall's other cells, which a relay sends the sum of its cell.
     pub sibling_relays: HashSet<SocketAddr>,
-    /// Relays in other halls, which it tells the sum of its hall.
+    /// The relays in other halls that this daemon sends the sum of its hall.
     pub hall_relays: HashSet<SocketAddr>,
-    /// Whether the fleet is more than one cell.
+    /// Whether the fleet has more than one cell.
     pub divided: bool,
 }
 
 impl Layout {
-    /// The division of a fleet of `own` and `others`. A cell's relay is its strongest daemon of which
-    /// `is_silent` does not say that it doesn't answer.
+    /// Computes the layout of a fleet that consists of `own` and `others`. The relay of a cell is
+    /// its best-ranked daemon that is not silent.
     pub fn of(own: &Daemon, others: &[Daemon], is_silent: impl Fn(SocketAddr) -> bool) -> Layout {
         let divided = others.len() + 1 > MAX_UNDIVIDED;
         let in_hall = others.iter().filter(|d| !divided || d.hall == own.hall).chain([own]);
@@ -87,18 +91,18 @@
         layout
     }
 
-    /// Whether it is the relay of its cell.
+    /// Whether the daemon is the relay of its cell.
     pub fn is_relay(&self) -> bool {
         self.divided && self.relay.is_none()
     }
 
-    /// All daemons that this one tells something unasked.
+    /// All daemons that this one chooses to send heartbeats to.
     pub fn partners(&self) -> impl Iterator<Item = SocketAddr> {
         self.cell_peers.iter().chain(&self.sibling_relays).chain(&self.hall_relays).copied()
     }
 }
 
-/// The daemons of each hall but the own.
+/// The daemons of each other hall.
 fn other_halls<'a>(own: &Daemon, others: &'a [Daemon]) -> BTreeMap<Tag, Vec<&'a Daemon>> {
     let mut halls: BTreeMap<Tag, Vec<&Daemon>> = BTreeMap::new();
     for daemon in others.iter().filter(|d| d.hall != own.hall) {
@@ -107,8 +111,8 @@
     halls
 }
 
-/// The first daemon of each hall but the own, in an order that each server has of its own. It is also the first of
-/// its cell, however the hall is divided.
+/// The first daemon of each other hall, in an order that depends on the server. It is also the
+/// first daemon of its cell in that order, however the hall is divided.
 pub fn first_in_each_hall(own: &Daemon, others: &[Daemon], server: Tag) -> Vec<SocketAddr> {
     let halls = other_halls(own, others).into_values();
     let first = |daemons: Vec<&Daemon>| {
@@ -118,15 +122,16 @@
     halls.filter_map(first).collect()
 }
 
-/// The order of a cell's daemons as its relay, and as the one that reads the store for all: strong ones
-/// first. A fleet's servers write some 0.4 kB a second each, which is more than a small VM's link carries
-/// where there are thousands.
+/// The order in which a cell's daemons become its relay and read the store for the others: stronger
+/// ones first. Each server writes about 0.4 kB a second to the store, so reading the records of
+/// thousands of servers exceeds the link of a small VM.
 pub(crate) fn rank(daemon: &Daemon) -> (Reverse<u32>, Tag) {
     (Reverse(daemon.strength), Tag::of(&daemon.vm))
 }
 
-/// The cells of one hall, or of a fleet that is one cell: parts of even size of its daemons in the order of
-/// their names' tags, so that one that comes or goes moves at most one daemon between two parts.
+/// Divides the daemons of a hall, or of an undivided fleet, into cells of even size in the order of
+/// their tags. A daemon that joins or leaves moves at most one daemon between two neighbouring
+/// cells.
 fn cells(mut daemons: Vec<&Daemon>) -> Vec<Vec<&Daemon>> {
     daemons.sort_by_cached_key(|d| Tag::of(&d.vm));
     let count = daemons.len().div_ceil(MAX_CELL_SIZE).max(1);
@@ -134,12 +139,13 @@
     (0..count).map(|i| daemons[bound(i)..bound(i + 1)].to_vec()).collect()
 }
 
-/// The daemon of a cell that is told its sums: its relay, as far as this daemon can tell.
+/// The daemon of another cell that sums are sent to: its relay, as far as this daemon can tell.
 fn presumed_relay(cell: &[&Daemon], is_silent: impl Fn(SocketAddr) -> bool) -> Option<SocketAddr> {
     cell.iter().min_by_key(|d| (is_silent(d.peers), rank(d))).map(|d| d.peers)
 }
 
-/// A number for a pair of halls, the same seen from both: it chooses the cells whose relays cross.
+/// A number for a pair of halls, independent of their order. It selects the cells whose relays
+/// exchange the sums of the two halls.
 fn pair_hash(one: Tag, other: Tag) -> u64 {
     one.min(other).combined_with(one.max(other)).value()
 }
--- a/src/gateway/clock.rs
+++ b/src/gateway/clock.rs
@@ -1,25 +1,26 @@
-//! Dating what other daemons tell, on this process's own clock.
+//! Dates statements of other daemons on this process's own clock.
 //!
-//! Daemons don't share a clock, and nobody knows how long a message was on its way. But each heartbeat
-//! returns the clock that its sender last had of the receiver, and how long it has had it. The heartbeat
-//! was sent after that; an age that it tells is counted from there. What is dated so is as old as it
-//! says or a little older, never younger, however often it is passed on.
+//! Daemons have no common clock, and the delay of a message is unknown. But each heartbeat echoes
+//! the last clock value that its sender received from the receiver, and says how long ago that was.
+//! The heartbeat was sent after that time, so ages in it are counted from there. A date that is
+//! computed in this way is never too recent, only somewhat too old, however often the statement is
+//! forwarded.
 
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 
-/// A clock that is returned to its owner.
+/// A clock value that is returned to its owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// The start of the process whose clock it is.
+    /// Identifies the process start that the clock belongs to.
     pub boot: u64,
     /// The clock, in microseconds since that start.
     pub stamp: u64,
-    /// How long the returning daemon has had it, in microseconds.
+    /// How long ago the echoing daemon received it, in microseconds.
     pub held_us: u64,
 }
 
-/// The clock of one start of a process.
+/// The clock of one process start.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     boot: u64,
@@ -27,12 +28,12 @@
 }
 
 impl Clock {
-    /// The clock of the start that `boot` names, which was at `started`.
+    /// Creates the clock of the process start `boot` at `started`.
     pub fn new(boot: u64, started: Instant) -> Clock {
         Clock { boot, started }
     }
 
-    /// Tells this start of the process from others.
+    /// Identifies this process start.
     pub fn boot(&self) -> u64 {
         self.boot
     }
@@ -42,13 +43,13 @@
         self.started
     }
 
-    /// What it shows, in microseconds since the start.
+    /// The time since the process start, in microseconds.
     pub fn stamp(&self, now: Instant) -> u64 {
         micros_between(self.started, now)
     }
 
-    /// A moment before which the message that returned `echo` was not sent; `None` where it returned
-    /// no clock, or another one.
+    /// The earliest time at which the message with this `echo` can have been sent; `None` if it
+    /// echoes no clock, or the clock of another process start.
     pub fn earliest_send_time(&self, echo: Option<Echo>, now: Instant) -> Option<Instant> {
         let echo = echo.filter(|echo| echo.boot == self.boot)?;
         let echoed = Duration::from_micros(echo.stamp.checked_add(echo.held_us)?);
@@ -56,17 +57,17 @@
     }
 }
 
-/// The moment so many milliseconds before another one; `None` before this machine's clock began.
+/// The time `ms` milliseconds before `at`; `None` if this machine's clock can't represent it.
 pub fn minus_millis(at: Instant, ms: u32) -> Option<Instant> {
     at.checked_sub(Duration::from_millis(ms.into()))
 }
 
-/// Microseconds from one moment to another.
+/// Microseconds between two times.
 pub fn micros_between(since: Instant, now: Instant) -> u64 {
     u64::try_from(now.saturating_duration_since(since).as_micros()).unwrap_or(u64::MAX)
 }
 
-/// The same in milliseconds, for what is told.
+/// Milliseconds between two times, as used in messages.
 pub fn millis_between(since: Instant, now: Instant) -> u32 {
     u32::try_from(now.saturating_duration_since(since).as_millis()).unwrap_or(u32::MAX)
 }
--- a/src/gateway/cluster.rs
+++ b/src/gateway/cluster.rs
@@ -1,11 +1,11 @@
-//! Talking with the other daemons: who they are, how current their copies of the store are, and
-//! what they have running where.
+//! Communication with the other daemons: which of them exist, how current their copies of the store
+//! are, and which load they put on each server.
 //!
-//! Nothing rests on one daemon and nothing is agreed upon. A heartbeat carries the sender's clock
-//! and returns the receiver's, so that each statement in it is known to have been true at a moment
-//! of the receiver's own clock, however long it was on the way. Within a [cell](crate::gateway::cell)
-//! heartbeats come several times a second and as soon as a load changes; between cells and halls, relays
-//! tell sums.
+//! No daemon is essential, and no consensus is needed. A heartbeat carries the sender's clock and
+//! echoes the receiver's, so that the receiver can date each statement in it on its own clock,
+//! however long the message was under way. Within a [cell](crate::gateway::cell), heartbeats are
+//! sent several times a second and as soon as a load changes. Between cells and halls, relays
+//! exchange sums.
 
 mod answering;
 mod quota;
@@ -38,39 +38,43 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::time::sleep;
 
-/// Least time between two heartbeats to one daemon for changes of load: changes that come together
-/// are told together.
+/// Minimum time between two heartbeats to the same daemon for changes of load: changes that follow
+/// each other closely share one heartbeat.
 const LOAD_UPDATE_INTERVAL: Duration = Duration::from_millis(40);
-/// Time between two looks at whether the fleet is to be divided otherwise, and for daemons to be greeted.
+/// Interval at which the division into cells and the set of heartbeat targets are updated.
 const LAYOUT_INTERVAL: Duration = Duration::from_millis(100);
-/// The same where heartbeats come seldom.
+/// The same while heartbeats are infrequent.
 const IDLE_LAYOUT_INTERVAL: Duration = Duration::from_millis(300);
-/// Age of the last read of the store by any daemon up to which the others need not read it.
+/// While the last read of the store by any daemon is no older than this, the other daemons don't
+/// read it.
 const RECENT_READ: Duration = Duration::from_millis(700);
-/// What a daemon waits longer for each one that reads before it.
+/// Additional wait of a daemon for each daemon that reads before it.
 const READ_STEP: Duration = Duration::from_millis(120);
-/// Longest that a daemon waits for those before it: a fleet whose first readers are cut off from the
-/// store still reads within two seconds.
+/// Maximum additional wait: if the first readers of a fleet are cut off from the store, another
+/// daemon still reads within two seconds.
 const MAX_READ_DELAY: Duration = Duration::from_millis(1_000);
-/// Time that news of a read takes through other cells: a heartbeat between cells and one within.
+/// Time for the report of a read to arrive from other cells: one heartbeat between cells and one
+/// within the cell.
 const REPORT_DELAY: Duration = Duration::from_millis(550);
-/// Time after which a daemon that knows that its copy is behind reads the store itself: its peers
-/// may have no bandwidth for a large change.
+/// Time after which a daemon whose copy is known to be behind reads the store itself: its peers may
+/// lack the bandwidth for a large change.
 const MAX_BEHIND: Duration = Duration::from_millis(250);
-/// Time from a daemon's start within which the store, or a peer that knows it, tells who the others are.
+/// After this time from its start, a daemon that has reached no peer tries the seeds. Before, the
+/// store or a peer that knows the store usually names the other daemons.
 const SEED_DELAY: Duration = Duration::from_millis(1_000);
-/// Time for which an address that nobody answers at is greeted, where other daemons are heard.
+/// How long heartbeats are sent to an address that nobody answers at, if other daemons are
+/// reachable.
 const UNKNOWN_PEER_LIFETIME: Duration = Duration::from_secs(10);
-/// Longest time for a peer to begin to give what this daemon lacks, and longest pause within it. A whole copy takes as
-/// long as the links need.
+/// Timeout for a peer to start sending the missing changes, and for each gap within the transfer. A
+/// complete copy takes as long as the links need.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(400);
-/// Updates given at a time; further askers get none and try another daemon or the store. Large ones
-/// fill the link of a small VM.
+/// Maximum number of updates that are sent at once; further requests get an empty answer and go to
+/// another daemon or to the store. Large updates fill the link of a small VM.
 const MAX_CONCURRENT_UPDATES: usize = 3;
-/// Links are given up soon after their peer falls silent, and made anew when it is back.
+/// Connections are closed soon after their peer becomes silent, and opened again when it is back.
 const LINK_LIMITS: LinkLimits = LinkLimits { idle_ms: 2_000, streams: 32 };
 
-/// See the module.
+/// Exchanges heartbeats, copies of the store and quota with the other daemons.
 pub struct Cluster {
     weak_self: Weak<Cluster>,
     gateway: Arc<Gateway>,
@@ -78,22 +82,25 @@
     roster: Arc<Roster>,
     links: Arc<Peers>,
     view: Mutex<View>,
-    /// Addresses from the settings that are tried for first contact.
+    /// Addresses from the settings for first contact.
     seeds: Mutex<Vec<SocketAddr>>,
-    /// Addresses that heartbeats named since the last look.
+    /// Addresses from heartbeats since the last call of `heartbeat_targets`.
     announced: Mutex<Vec<SocketAddr>>,
-    /// Daemons that have a task, and since when.
+    /// Daemons with a running heartbeat task, and when it started.
     peer_tasks: Mutex<HashMap<SocketAddr, Instant>>,
+    /// Whether this daemon accepts callers.
     ready: Box<dyn Fn() -> bool + Send + Sync>,
-    /// Whether anything was heard since it was last added up.
+    /// Whether any peer's figures changed or expired since they were last summed up.
     stats_changed: AtomicBool,
+    /// Whether changes are being fetched from a peer.
     fetching: AtomicBool,
-    /// Whether this daemon last asked the store in vain.
+    /// Whether this daemon's last read of the store failed.
     last_read_failed: AtomicBool,
     /// When this daemon last read the store.
     own_read: Mutex<Option<Instant>>,
     /// Since when this copy is known to be behind.
     behind_since: Mutex<Option<Instant>>,
+    /// Permits to send large updates to peers.
     update_permits: Semaphore,
 }
 
@@ -104,7 +111,7 @@
         Peers::bind(addr, &identity, LINK_LIMITS, gateway.metrics.traffic.clone())
     }
 
-    /// A cluster of this daemon alone, until it [`runs`](Cluster::run).
+    /// Creates a cluster that consists of this daemon alone until [`run`](Cluster::run) is called.
     pub fn new(
         gateway: Arc<Gateway>,
         mirror: Arc<Mirror>,
@@ -137,17 +144,17 @@
         cluster
     }
 
-    /// The gateway's counters.
+    /// The gateway's metrics.
     pub fn metrics(&self) -> &GatewayMetrics {
         &self.gateway.metrics
     }
 
-    /// Sets the addresses that are tried for first contact.
+    /// Sets the addresses for first contact.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         *self.seeds.lock().expect("no holder panics") = seeds;
     }
 
-    /// Talks with peers until the process ends.
+    /// Exchanges messages with peers until the process ends.
     pub async fn run(self: Arc<Self>) {
         tokio::spawn(self.links.clone().serve(self.handler()));
         loop {
@@ -161,13 +168,14 @@
         }
     }
 
-    /// The side that answers peers.
+    /// The handler for messages from peers.
     fn handler(self: &Arc<Self>) -> Arc<dyn Handler> {
         Arc::new(PeerHandler(self.clone()))
     }
 
-    /// Whether this daemon should read the store now: no daemon did lately, or what it lacks was
-    /// not given to it by one that has it. Where others ask in vain, daemons join them one by one.
+    /// Whether this daemon should read the store now: either no daemon has read it recently, or the
+    /// peer that is ahead has not delivered the missing changes. If the reads of other daemons
+    /// fail, further daemons start to read one after the other.
     pub fn should_read(&self, now: Instant) -> bool {
         if self.is_behind(now) {
             return true;
@@ -194,24 +202,25 @@
         &self.roster.own().hall
     }
 
-    /// How long this daemon, which starts, waits for a peer's copy of the store.
+    /// How long this daemon waits for a peer's copy of the store when it starts.
     pub fn startup_wait(&self) -> Duration {
         start::wait(self.roster.own(), &self.roster.listing().0.daemons)
     }
 
-    /// How long this daemon need not look again whether it should read: what others read lately is known.
+    /// How long [`should_read`](Cluster::should_read) needn't be checked again, given the last read
+    /// by any daemon.
     pub fn time_to_next_read_check(&self, now: Instant) -> Duration {
         let read = self.view().last_store_read();
         let left = read.map(|at| (at + RECENT_READ).saturating_duration_since(now));
         left.unwrap_or_default().min(MAX_BEHIND)
     }
 
-    /// How many daemons are to read the store before this one.
+    /// How many daemons precede this one in the order of reading the store.
     pub fn readers_before(&self, now: Instant) -> usize {
         self.view().readers_before(now)
     }
 
-    /// Notes that this daemon has read the store.
+    /// Records a read of the store by this daemon.
     pub fn note_store_read(&self, now: Instant) {
         self.view().note_store_read(Some(now));
         *self.own_read.lock().expect("no holder panics") = Some(now);
@@ -219,23 +228,24 @@
         *self.behind_since.lock().expect("no holder panics") = None;
     }
 
-    /// Notes that this daemon asked the store in vain.
+    /// Records a failed read of the store by this daemon.
     pub fn note_store_failure(&self, now: Instant) {
         self.last_read_failed.store(true, Ordering::Release);
         self.mirror.store_failed(now);
     }
 
-    /// Where callers may be sent, this daemon not among them.
+    /// Addresses of other daemons for callers.
     pub fn entries(&self, now: Instant) -> Vec<SocketAddr> {
         self.view().entries(now)
     }
 
-    /// Where callers may be sent in other cells and halls.
+    /// Addresses for callers in other cells and halls.
     pub fn remote_entries(&self, now: Instant) -> Vec<SocketAddr> {
         self.view().remote_entries(now)
     }
 
-    /// Divides the fleet anew and takes over what the others have running and have spent.
+    /// Updates the division into cells, and passes the other daemons' figures to the gateway and
+    /// its metrics.
     fn refresh_layout(&self, now: Instant) {
         let (listing, rank) = self.roster.listing();
         let count = listing.daemons.len();
@@ -250,7 +260,7 @@
         self.gateway.set_delayed_share(view.summarized_fraction(now));
         self.gateway.set_rank(rank);
         drop(view);
-        // What was not told again in time no longer counts.
+        // Loads that were not reported again in time have expired, so the sums may have changed.
         self.stats_changed.store(true, Ordering::Release);
         let (limited, backing_off) = {
             let mut servers = self.gateway.servers();
@@ -262,7 +272,7 @@
         metrics.resting_servers.set(backing_off as i64);
     }
 
-    /// Daemons that this one sends heartbeats to.
+    /// Addresses of the daemons that this one sends heartbeats to.
     fn heartbeat_targets(&self, now: Instant) -> Vec<SocketAddr> {
         let view = self.view();
         let mut wanted = view.partners(now);
@@ -276,14 +286,14 @@
         wanted
     }
 
-    /// Whether this daemon has no other way to its peers than the few addresses that all daemons know: a fleet that
-    /// greets them has a connection of each daemon there.
+    /// Whether the seeds are the only way to reach peers. They are not used otherwise: all daemons
+    /// know the same few addresses, and each would keep a connection to them.
     fn needs_seeds(&self, view: &View, now: Instant) -> bool {
         let waited = now.saturating_duration_since(view.clock().started()) >= SEED_DELAY;
         waited && view.count(now) == 0
     }
 
-    /// What a daemon is to this one; `None` where no heartbeats are due to it.
+    /// This daemon's relation to another one; `None` if it sends no heartbeats to it.
     fn relation(&self, addr: SocketAddr, now: Instant) -> Option<Relation> {
         let view = self.view();
         let unknown_peer = || {
@@ -296,12 +306,12 @@
         view.relation(addr, now).or_else(unknown_peer)
     }
 
-    /// Whether an address is neither listed by the store nor heard.
+    /// Whether an address is neither listed in the store nor known from heartbeats.
     fn is_unknown(&self, view: &View, addr: SocketAddr) -> bool {
         !view.has_peer(addr) && !self.roster.has_peer(addr)
     }
 
-    /// One task for each daemon that heartbeats are due to; it ends when they no longer are.
+    /// Starts the task that sends heartbeats to a daemon. It ends when none are due any more.
     fn spawn_peer_task(self: &Arc<Self>, addr: SocketAddr) {
         if addr == self.roster.own().peers {
             return;
@@ -329,7 +339,7 @@
                 return;
             };
             let heartbeat = self.heartbeat(addr, relation, &mut schedule, now);
-            // What changes from here on is not in this heartbeat.
+            // Later changes are not in this heartbeat.
             urgent.mark_unchanged();
             loads.mark_unchanged();
             copy.mark_unchanged();
@@ -353,7 +363,7 @@
                 is_reachable && relation == Relation::SameCell && spacing < interval;
             tokio::select! {
                 () = sleep(interval) => {}
-                // News goes out at once.
+                // Urgent changes are sent at once.
                 result = urgent.changed(), if is_reachable => if result.is_err() { return },
                 result = copy.changed(), if forwards => if result.is_err() { return },
                 () = changed_after(&mut loads, now + spacing), if reports_loads => {}
@@ -361,8 +371,9 @@
         }
     }
 
-    /// Whether others hear of changes of the store from this daemon: a relay, one that reads the store, or any of a
-    /// small fleet. All others have them from one of these, as their peers do.
+    /// Whether this daemon sends changes of the store on at once: a relay, a daemon that reads the
+    /// store, and each daemon of an undivided fleet do. The others learn of changes from one of
+    /// these, as their peers do.
     fn forwards_store_changes(&self, view: &View, now: Instant) -> bool {
         let layout = view.layout();
         let reads = |at: Instant| now.saturating_duration_since(at) < RECENT_READ;
@@ -428,7 +439,7 @@
         }
     }
 
-    /// Takes over when the store was last read, and last asked in vain, as far as a peer knows.
+    /// Merges the peer's ages of the last successful and the last failed read of the store.
     fn merge_store_ages(&self, heartbeat: &Heartbeat, sent: Option<Instant>, now: Instant) {
         let at = |ms: u32| sent.and_then(|sent| minus_millis(sent, ms));
         if let Some(failed) = heartbeat.store_failure_age_ms.and_then(at) {
@@ -439,8 +450,9 @@
         }
     }
 
-    /// Asks a peer for what this copy lacks: small values first, and the large ones too, unless the
-    /// store is being asked for them by now: on a narrow link the two would hold each other up.
+    /// Fetches the missing changes from a peer: first the small values, then the large ones. The
+    /// large ones are left out while this daemon reads the store itself, because both transfers
+    /// would slow each other down on a narrow link.
     async fn fetch(self: Arc<Self>, from: SocketAddr, lack: Lack) {
         let complete = match lack {
             Lack::Changes => {
@@ -456,13 +468,13 @@
         self.fetching.store(false, Ordering::Release);
     }
 
-    /// Takes in what a peer gives. Says whether it was all that this copy lacked; `None` where
-    /// nothing came.
+    /// Fetches an update from a peer and applies it. Returns whether the update was complete, or
+    /// `None` if the peer sent nothing.
     async fn fetch_from(self: &Arc<Self>, from: SocketAddr, request: Request) -> Option<bool> {
         let handler = self.handler();
         let asked = time::now();
         let progress = || {
-            // The store is not asked for what a peer is giving.
+            // While a peer is sending, the store is not read.
             let mut behind = self.behind_since.lock().expect("no holder panics");
             *behind = behind.map(|_| time::now());
         };
@@ -472,11 +484,11 @@
             .ask_large::<Option<Update>>(from, &request, limits, &handler, progress)
             .await;
         let Ok(received) = answer else {
-            warn!(peer = from.to_string().as_str(); "peer did not give what it has");
+            warn!(peer = from.to_string().as_str(); "peer did not send the missing changes");
             return None;
         };
         let update = received?;
-        // Before this process's clock began, nothing can have been seen.
+        // Nothing can have been confirmed before this process's clock started.
         let confirmed_at = minus_millis(asked, update.copy_status.age_ms)
             .unwrap_or_else(|| self.view().clock().started());
         let complete = update.complete;
@@ -512,10 +524,10 @@
     }
 }
 
-/// Returns once something has changed, but not before `least`.
+/// Returns after the next change, but not before `least`.
 async fn changed_after(changes: &mut watch::Receiver<u64>, least: Instant) {
     if changes.changed().await.is_err() {
-        // The daemon itself has ended.
+        // The sender was dropped: the daemon is shutting down.
         std::future::pending::<()>().await;
     }
     time::sleep_until(least).await;
--- a/src/gateway/cluster/answering.rs
+++ b/src/gateway/cluster/answering.rs
@@ -1,4 +1,5 @@
-//! Answering peers: their heartbeats, what their copies of the store lack, and room at servers in need.
+//! Handles messages from peers: heartbeats, requests for missing changes of the store, and requests
+//! for quota.
 
 use super::Cluster;
 use crate::gateway::heartbeat::{Heartbeat, Request};
@@ -11,11 +12,12 @@
 use log::warn;
 use std::sync::Arc;
 
-/// The side of [`Cluster`] that answers peers.
+/// Handles messages from peers for a [`Cluster`].
 pub(super) struct PeerHandler(pub(super) Arc<Cluster>);
 
 impl PeerHandler {
-    /// Small values that a copy at `position` lacks. A copy that lacks everything waits its turn.
+    /// Sends the small values that a copy at `position` lacks. A full copy is sent only if an
+    /// update permit is free.
     async fn send_small_values(&self, position: Position, peer_stream: &mut PeerStream) {
         let now = time::now();
         match self.0.mirror.update_after(position, now).filter(|update| !update.full) {
@@ -24,7 +26,8 @@
         }
     }
 
-    /// All that a copy at `position` lacks; nothing while this daemon gives to others.
+    /// Sends everything that a copy at `position` lacks, or nothing if too many updates are being
+    /// sent already.
     async fn send_all_values(&self, position: Position, peer_stream: &mut PeerStream) {
         let permit = self.0.update_permits.try_acquire();
         let update = match &permit {
@@ -45,7 +48,7 @@
     fn on_message(&self, bytes: &[u8]) {
         match message::decode::<Heartbeat>(bytes) {
             Ok(heartbeat) => self.0.receive(heartbeat, time::now()),
-            Err(e) => warn!(why = format!("{e:?}").as_str(); "heartbeat not readable"),
+            Err(e) => warn!(why = format!("{e:?}").as_str(); "cannot decode heartbeat"),
         }
     }
 
@@ -64,7 +67,7 @@
                         peer_stream.finish().await;
                     }
                 }
-                Err(e) => warn!(why = format!("{e:?}").as_str(); "request of a peer not readable"),
+                Err(e) => warn!(why = format!("{e:?}").as_str(); "cannot decode request from peer"),
             }
         })
     }
--- a/src/gateway/cluster/quota.rs
+++ b/src/gateway/cluster/quota.rs
@@ -1,4 +1,4 @@
-//! Asking other daemons for room at servers in need.
+//! Requests quota for limited servers from other daemons.
 
 use super::Cluster;
 use crate::gateway::cell::first_in_each_hall;
@@ -14,21 +14,24 @@
 use std::time::{Duration, Instant};
 use tokio::time::timeout;
 
-/// Longest time for a peer to give room at a server in need: some times a round trip within a region.
+/// Timeout for one peer to lend quota at a limited server: a few round trips within a region.
 const QUOTA_TIMEOUT: Duration = Duration::from_millis(40);
-/// Longest time for all that are asked, one after the other. The caller waits for it, and is refused otherwise.
+/// Timeout for all peers together, which are asked one after the other. The caller waits meanwhile,
+/// and is refused if none lends quota.
 const TOTAL_QUOTA_TIMEOUT: Duration = Duration::from_millis(120);
-/// Peers of the same cell that are asked for room at most, one after the other: all others of a small fleet. Where
-/// half of what a server names comes, about two thirds of those that hold room have some.
+/// Maximum number of peers of the same cell that are asked, one after the other. It covers a small
+/// fleet. At a load of half a server's limit, about two thirds of the daemons with quota there have
+/// some to lend.
 const MAX_CELL_LENDERS: usize = 5;
-/// Daemons of other halls that are asked after them at most.
+/// Maximum number of daemons of other halls that are asked after those of the cell.
 const MAX_HALL_LENDERS: usize = 3;
-/// Daemons up to which a fleet's daemons ask those of other halls: one that holds room may have a link to each, and
-/// a small VM bears so many.
+/// Daemons of other halls are asked only in fleets smaller than this: a daemon that holds quota may
+/// get a link to each other daemon, and a small VM can handle only that many.
 const MAX_FLEET_ASKING_HALLS: usize = 64;
 
 impl Cluster {
-    /// Asks them, within a time that a caller may wait. What one of them gives later goes unused.
+    /// Asks other daemons for quota within the time that a caller may wait. Quota that is granted
+    /// later stays unused.
     pub(super) async fn request_quota(&self, wanted: Vec<LimitedServer>) -> Option<Tag> {
         timeout(TOTAL_QUOTA_TIMEOUT, self.ask_lenders(wanted)).await.unwrap_or(None)
     }
@@ -42,16 +45,16 @@
             match asked.await {
                 Ok(Some(server)) => return Some(server),
                 Ok(None) => {}
-                // What it may have given goes unused.
+                // Quota that the peer may have granted stays unused.
                 Err(NoAnswer) => {
-                    debug!(peer = peer.to_string().as_str(); "peer did not say whether it has room")
+                    debug!(peer = peer.to_string().as_str(); "no answer to quota request")
                 }
             }
         }
         None
     }
 
-    /// Daemons that may hold room at servers in need, in an order drawn at random: those of the same cell first.
+    /// Daemons that may hold quota at these servers, in random order: those of the same cell first.
     fn lenders(&self, wanted: &[LimitedServer], now: Instant) -> Vec<SocketAddr> {
         let view = self.view();
         let near = wanted.iter().flat_map(|w| view.quota_holders_in_cell(w.server, w.holders, now));
@@ -67,7 +70,7 @@
     }
 }
 
-/// Some of these addresses, `most` of them, each once.
+/// Up to `most` distinct addresses in random order.
 fn random_sample(addrs: impl Iterator<Item = SocketAddr>, most: usize) -> Vec<SocketAddr> {
     let all: HashSet<SocketAddr> = addrs.collect();
     let mut drawn: Vec<SocketAddr> = all.into_iter().collect();
--- a/src/gateway/heartbeat.rs
+++ b/src/gateway/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other: heartbeats, and requests for what a copy of the store lacks.
+//! Messages between daemons: heartbeats, and requests for changes of the store or for quota.
 
 use crate::gateway::budget::Spent;
 use crate::gateway::cell::CellId;
@@ -16,98 +16,99 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A heartbeat.
+/// The message that daemons send each other regularly.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender.
     pub daemon: Daemon,
-    /// Tells this start of the process from others.
+    /// Identifies the process start of the sender.
     pub boot: u64,
     /// The sender's clock, in microseconds since its start.
     pub stamp: u64,
-    /// The receiver's clock as the sender last had it.
+    /// The receiver's clock as the sender last received it.
     pub echo: Option<Echo>,
-    /// Whether callers may be sent to it.
+    /// Whether the sender accepts callers.
     pub ready: bool,
-    /// Time within which the next one follows, in milliseconds.
+    /// The interval within which the next heartbeat follows, in milliseconds.
     pub interval_ms: u32,
-    /// Whether the receiver is a contact of the sender's choice, which should answer.
+    /// Whether the sender chose the receiver as a contact and expects heartbeats in return.
     pub expects_reply: bool,
-    /// How the sender's copy of the store stands.
+    /// The status of the sender's copy of the store.
     pub copy_status: Option<CopyStatus>,
-    /// Age of the last read of the store that the sender knows of, its own or another daemon's, in
+    /// Age of the last read of the store that the sender knows of, by itself or another daemon, in
     /// milliseconds.
     pub store_read_age_ms: Option<u32>,
-    /// Age of the last read that failed, in the same way.
+    /// Age of the last failed read that the sender knows of, in milliseconds.
     pub store_failure_age_ms: Option<u32>,
     /// The sender's cell.
     pub cell: CellId,
-    /// What it has running and has spent; nothing for a receiver of another cell.
+    /// The sender's own figures; empty for a receiver in another cell.
     pub stats: DaemonStats,
-    /// Sums of other daemons' words, made by the sender or passed on.
+    /// Sums of other daemons' figures, computed or forwarded by the sender.
     pub sums: Vec<Sum>,
-    /// What the sender knows of servers otherwise than from the store.
+    /// What the sender knows of servers from other sources than the store.
     pub observations: Observations,
-    /// Some of the daemons of its cell that it hears.
+    /// Addresses of some reachable daemons of the sender's cell.
     pub peer_addrs: Vec<SocketAddr>,
 }
 
-/// What one daemon, or several together, have running and have spent.
+/// The figures of one daemon or the sums of several.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct DaemonStats {
-    /// What runs where.
+    /// The load on each server.
     pub loads: Vec<(Tag, Load)>,
-    /// What was spent of the budget for repeats.
+    /// What was spent of each retry budget.
     pub spent: Vec<(Tag, Spent)>,
-    /// How exchanges with servers went where some failed.
+    /// The outcomes of exchanges with servers that had failures.
     pub outcomes: Vec<(Tag, Outcomes)>,
-    /// What became of the servers that ran requests under which some ended.
+    /// What happened to the servers that ran suspected requests.
     pub evidence: Vec<(Fingerprint, Evidence)>,
-    /// How requests went in roll-outs that are under way.
+    /// The results of requests in roll-outs that are in progress.
     pub tallies: Vec<(Stratum, Tally)>,
-    /// How long ago those were ordered at least, in milliseconds.
+    /// The minimum time since each of these roll-outs was ordered, in milliseconds.
     pub rollout_ages: Vec<(Tag, u32)>,
 }
 
-/// Whose words a sum adds up.
+/// The daemons that a sum covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Origin {
-    /// The daemons of a cell; told in its hall.
+    /// The daemons of a cell; sent within its hall.
     Cell(CellId),
-    /// The daemons of a hall; told to other halls.
+    /// The daemons of a hall; sent to other halls.
     Hall(Tag),
-    /// The daemons of all halls but the receiver's; told in a cell.
+    /// The daemons of all halls but the receiver's; sent within a cell.
     OtherHalls,
 }
 
-/// What several daemons told, added up by one of them.
+/// The sum of several daemons' figures, computed by one of them.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Sum {
-    /// Whose words it adds up.
+    /// The daemons that it covers.
     pub origin: Origin,
-    /// The start of the process that made it.
+    /// Identifies the process start that computed it.
     pub boot: u64,
-    /// That process's clock then, in microseconds: a later sum of the same maker has a higher one.
+    /// That process's clock at the time, in microseconds: a later sum of the same maker has a
+    /// higher value.
     pub stamp: u64,
-    /// How long ago that was, in milliseconds.
+    /// The age of the sum, in milliseconds.
     pub age_ms: u32,
-    /// Names of the daemons of a cell, or of the halls of `OtherHalls`, that it holds.
+    /// The tags of the daemons of a cell, or of the halls of `OtherHalls`, that are included.
     pub members: Vec<Tag>,
-    /// How many daemons it holds.
+    /// How many daemons are included.
     pub daemons: u32,
-    /// Where callers may be sent: some of these daemons.
+    /// Addresses for callers of some of these daemons.
     pub entries: Vec<SocketAddr>,
-    /// What they have running and have spent.
+    /// The sums of their figures.
     pub stats: DaemonStats,
 }
 
-/// A request between daemons.
+/// A request from one daemon to another.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Request {
-    /// What a copy at this position lacks, large values left out.
+    /// The small values that a copy at this position lacks.
     SmallAfter(Position),
-    /// All that a copy at this position lacks.
+    /// Everything that a copy at this position lacks.
     AllAfter(Position),
-    /// Room for one request at one of these servers, which are in need; the answer names that one.
+    /// Quota for one request at one of these limited servers; the answer names that server.
     Quota(Vec<Tag>),
 }
--- a/src/gateway/partner.rs
+++ b/src/gateway/partner.rs
@@ -1,53 +1,58 @@
-//! How often a daemon tells its partners what.
+//! How often a daemon sends heartbeats and sums to its partners.
 
 use std::time::{Duration, Instant};
 
-/// Time between two heartbeats within a cell where nothing changes: almost three of them within the
-/// silence after which a daemon is taken as gone.
+/// Heartbeat interval within a cell while nothing changes. Almost three of them fit into the
+/// silence after which a daemon counts as unreachable.
 const HEARTBEAT: Duration = Duration::from_millis(250);
-/// Time between two heartbeats of a relay to its cell: all that the cell knows of others waits for it. With
-/// 100 ms here and 150 ms between relays, a fleet of 295 daemons had 124 late first events of 1,387 in 15 s of
-/// reclaims, with 50 ms and 60 ms it had 48.
+/// Heartbeat interval of a relay to its cell. All that the cell learns of other daemons waits for
+/// it: with 100 ms here and 150 ms between relays, a fleet of 295 daemons had 124 late first events
+/// of 1,387 in 15 s of reclaims; with 50 ms and 60 ms it had 48.
 const RELAY_HEARTBEAT: Duration = Duration::from_millis(50);
-/// Time between two heartbeats of relays to each other. A daemon is four of them from the first reader
-/// of the store in the worst case, and its copy must not seem late on an ordinary day.
+/// Heartbeat interval between relays. In the worst case, a daemon is four heartbeats away from the
+/// daemon that reads the store, and its copy must not be reported as late in normal operation.
 const CONTACT_HEARTBEAT: Duration = Duration::from_millis(40);
-/// Time between two attempts to reach a daemon that does not answer.
+/// Interval of heartbeats to a daemon that does not answer.
 const RETRY_INTERVAL: Duration = Duration::from_millis(400);
-/// Least time between two sums of a cell that a relay makes for one sibling: below the shortest time between
-/// two heartbeats of relays, so that each of them carries one.
+/// Minimum time between two sums of its cell that a relay sends to the same relay of the hall. It
+/// is below the shortest heartbeat interval between relays, so that each heartbeat carries one.
 const CELL_SUM_INTERVAL: Duration = Duration::from_millis(25);
-/// The same of sums of a hall to another hall: every second heartbeat. Bytes between halls are dear, but few
-/// daemons cross.
+/// The same for sums of a hall to another hall: every second heartbeat carries one. Traffic between
+/// halls is expensive, but only a few daemons send it.
 const HALL_SUM_INTERVAL: Duration = Duration::from_millis(60);
-/// The same of sums of all other halls to one's cell. They are the largest (some 2 KB for 130 servers), and go to
-/// each daemon of the cell: a relay on a link of 20 Mbit/s sends 2 Mbit/s of them.
+/// The same for sums of all other halls to the relay's own cell. These are the largest (about 2 KB
+/// for 130 servers) and are sent to each daemon of the cell: on a link of 20 Mbit/s, a relay uses 2
+/// Mbit/s for them.
 const OTHER_HALLS_SUM_INTERVAL: Duration = Duration::from_millis(140);
 
-/// Part of the time between two requests at one server after which a load may be heard: no more than one in so many
-/// requests meets another one of which it could not know.
+/// Maximum delay of a load report, as a fraction of the time between two requests at the same
+/// server: no more than this fraction of requests meets another request that the sender could not
+/// know of.
 const UNREPORTED_FRACTION: f64 = 0.07;
-/// Most by which pauses between heartbeats are stretched, and the longest stretched ones: silence is noticed within three
-/// of them, and what the store's first reader knows takes two ways between relays and one within a cell.
+/// Maximum factor for heartbeat intervals, and the maximum intervals that result. Silence is
+/// detected within three intervals. A change that the store's first reader sees takes two intervals
+/// between relays and one within a cell.
 const MAX_SCALE: f64 = 10.0;
 const MAX_HEARTBEAT: Duration = Duration::from_millis(1_000);
 const MAX_RELAY_HEARTBEAT: Duration = Duration::from_millis(350);
 const MAX_CONTACT_HEARTBEAT: Duration = Duration::from_millis(200);
-/// Requests at a server below which it is as good as idle to other halls, where pauses are stretched most.
+/// With intervals at their maximum, a server with fewer requests than this is reported to other
+/// halls as idle.
 const MAX_LIGHT_RUNS: f64 = 3.0;
-/// Heartbeats that may be lost before a daemon counts as silent, and a little.
+/// Silence in announced heartbeat intervals after which a daemon counts as unreachable. Two
+/// heartbeats may be lost: the announced interval is a tenth longer than the average one.
 const SILENT_HEARTBEATS: f64 = 2.8;
 
-/// By how much pauses between heartbeats are longer than where servers are busy. Heartbeats tell loads, and where
-/// servers are many for the requests, a load that is heard late changes no choice.
+/// The factor by which heartbeat intervals are longer than with busy servers. Heartbeats report
+/// loads; with many servers for few requests, a delayed load report does not affect any choice.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct IntervalScale(f64);
 
 impl IntervalScale {
-    /// Not at all.
+    /// Intervals as with busy servers.
     pub const NONE: IntervalScale = IntervalScale(1.0);
 
-    /// For a time between two requests at one server, in seconds.
+    /// The factor for a time between two requests at the same server, in seconds.
     pub fn of(gap: f64) -> IntervalScale {
         IntervalScale(
             (gap * UNREPORTED_FRACTION / RELAY_HEARTBEAT.as_secs_f64()).clamp(1.0, MAX_SCALE),
@@ -58,37 +63,41 @@
         interval.mul_f64(self.0).min(max)
     }
 
-    /// Requests at a server below which other halls are not told of them: they take it for idle.
+    /// Servers with fewer requests than this are left out of the sums for other halls, which treat
+    /// them as idle.
     pub fn min_reported_runs(self) -> u32 {
-        // Not negative, and at most three.
+        // The value is between zero and three.
         (MAX_LIGHT_RUNS * (self.0 - 1.0) / (MAX_SCALE - 1.0)) as u32
     }
 
-    /// A time after which changes of load are told before a heartbeat is due anyway.
+    /// The minimum time after a heartbeat before a change of load causes the next one.
     pub fn spacing(self, spacing: Duration) -> Duration {
         spacing.mul_f64(self.0 * self.0)
     }
 }
 
-/// Silence after which a daemon that sends heartbeats so often is taken as gone; not below `least`.
+/// Silence after which a daemon with this heartbeat interval counts as unreachable; at least
+/// `least`.
 pub fn silence_timeout(interval: Duration, least: Duration) -> Duration {
     least.max(interval.mul_f64(SILENT_HEARTBEATS))
 }
 
-/// What a daemon is to another one.
+/// A daemon's relation to another one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Relation {
-    /// Of the same cell.
+    /// Both are in the same cell.
     SameCell,
-    /// A relay of another cell of the hall, or one that took this daemon for its cell's relay.
+    /// The other daemon is the relay of another cell of the hall, or takes this one for its relay.
     SameHall,
-    /// The same of another hall.
+    /// The same for another hall.
     OtherHall,
-    /// An address from the settings or another daemon's word, which was never heard.
+    /// The address is from the settings or from another daemon's heartbeat, and nothing was
+    /// received from it yet.
     Unknown,
 }
 
-/// When a heartbeat is due to a partner, as told by whether this daemon is a relay and hears it.
+/// The interval of heartbeats to a partner. `is_relay` refers to this daemon, `is_reachable` to the
+/// partner.
 pub fn heartbeat_interval(
     relation: Relation,
     is_relay: bool,
@@ -105,7 +114,7 @@
     }
 }
 
-/// When one partner was last told what.
+/// When sums were last sent to one partner.
 #[derive(Debug, Default)]
 pub struct SumSchedule {
     last_sum: Option<Instant>,
@@ -113,7 +122,7 @@
 }
 
 impl SumSchedule {
-    /// Whether a sum that this daemon makes is due; if so, it counts as told now.
+    /// Whether a sum that this daemon computes is due; if so, it is recorded as sent now.
     pub(crate) fn is_due(&mut self, to: Relation, now: Instant) -> bool {
         let spacing = match to {
             Relation::SameCell => OTHER_HALLS_SUM_INTERVAL,
@@ -127,7 +136,7 @@
         due
     }
 
-    /// When the partner was last told what this daemon passes on; it counts as told now.
+    /// Records that sums of others are forwarded now, and returns when they were forwarded before.
     pub(crate) fn mark_forwarded(&mut self, now: Instant) -> Option<Instant> {
         self.last_forward.replace(now)
     }
--- a/src/gateway/sums.rs
+++ b/src/gateway/sums.rs
@@ -1,8 +1,9 @@
-//! Sums of what distant daemons told, as they are passed on from relay to relay.
+//! Sums of figures from distant daemons, which relays forward to each other.
 //!
-//! For each origin the latest sum counts and takes the place of the one before, so that nothing counts
-//! twice however it came here. Sums of one hall's cells name their members: where two of them hold the
-//! same daemon, which has just changed its cell, the later one counts and the other waits for its next.
+//! Only the latest sum of each origin counts, and it replaces the one before, so that nothing is
+//! counted twice, whichever way it arrived. The sums of a hall's cells list their members. If two
+//! of them contain the same daemon, because it has just changed its cell, the more recent one
+//! counts, and the other one is left out until its successor arrives.
 
 use crate::gateway::budget::Spent;
 use crate::gateway::cell::CellId;
@@ -20,34 +21,35 @@
 use std::ops::AddAssign;
 use std::time::{Duration, Instant};
 
-/// Age at which a cell's sum no longer counts: a new relay takes over 0.7 s after the last heartbeat
-/// of the one before it, and its first sums need a few heartbeats.
+/// Age at which a cell's sum expires: a new relay takes over 0.7 s after the last heartbeat of its
+/// predecessor, and its first sums need a few heartbeats.
 const CELL_SUM_LIFETIME: Duration = Duration::from_millis(1_500);
-/// The same for sums of halls, which come less often and over more daemons.
+/// The same for sums of halls, which are sent less often and pass through more daemons.
 const HALL_SUM_LIFETIME: Duration = Duration::from_millis(2_500);
-/// Places that callers are told of at least, so that one loss does not leave them without.
+/// Number of addresses that callers get if possible, so that they still have one after a daemon is
+/// lost.
 pub(crate) const MIN_ENTRIES: usize = 3;
-/// How much younger another maker's sum must be to take the place of one: as long as a relay is heard,
-/// a second daemon that takes itself for it changes nothing.
+/// How much younger a sum of another maker must be to replace the known one: while a relay is
+/// reachable, a second daemon that considers itself the relay has no effect.
 const MAKER_CHANGE_AGE: Duration = Duration::from_millis(450);
 
-/// From where a sum came here.
+/// Where a sum was received from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SumSource {
-    /// From a daemon of this cell.
+    /// A daemon of this cell.
     OwnCell,
-    /// From another cell of this hall.
+    /// Another cell of this hall.
     OwnHall,
-    /// From another hall.
+    /// Another hall.
     OtherHall,
 }
 
 #[derive(Debug)]
 struct StoredSum {
     sum: Sum,
-    /// The earliest moment at which it can have been made.
+    /// The earliest time at which it can have been made.
     made: Instant,
-    /// When and how it came here.
+    /// When it was received, and from where.
     received: Instant,
     source: SumSource,
 }
@@ -69,7 +71,8 @@
 }
 
 impl Sums {
-    /// Takes in a sum that was told by a message sent at `sent` at the earliest.
+    /// Stores a sum from a message that was sent no earlier than `sent`, if the sum is newer than
+    /// the known one.
     pub(crate) fn insert_if_newer(
         &mut self,
         sum: &Sum,
@@ -91,12 +94,12 @@
         }
     }
 
-    /// Forgets what no longer counts.
+    /// Removes sums that have expired.
     pub(crate) fn remove_expired(&mut self, now: Instant) {
         self.by_origin.retain(|_, stored| stored.is_current(now));
     }
 
-    /// Sums of cells of `hall` but `own`, of which no two hold the same daemon and none one of `near`.
+    /// Sums of the other cells of `own`'s hall. No daemon is in two of them, and none in `near`.
     pub(crate) fn cells(&self, own: CellId, near: HashSet<Tag>, now: Instant) -> Vec<&Sum> {
         let wanted = |stored: &&StoredSum| match stored.sum.origin {
             Origin::Cell(id) => id != own && id.hall == own.hall,
@@ -120,8 +123,9 @@
         disjoint
     }
 
-    /// Sums of other halls: for a relay each hall's own, for its cell what the relay made of them. A
-    /// daemon that has just become a relay, or has just lost its own, has the other ones for a while.
+    /// Sums of other halls: a relay uses each hall's own sum, other daemons use the sum that their
+    /// relay made of these. A daemon that has just become a relay, or has just lost its relay, uses
+    /// the other kind for a while.
     pub(crate) fn halls(&self, relay: bool, now: Instant) -> Vec<&Sum> {
         let current = self
             .by_origin
@@ -135,7 +139,8 @@
         if first.is_empty() { second } else { first }
     }
 
-    /// Sums that came after `last` and are to be passed on by their origin and way, with their ages.
+    /// Sums received after `last` that `wanted` selects by origin and source, with their current
+    /// ages.
     pub(crate) fn to_forward(
         &self,
         wanted: impl Fn(Origin, SumSource) -> bool,
@@ -153,25 +158,25 @@
     }
 }
 
-/// Adds up what was told, and whose words it was.
+/// Adds up the figures of daemons, and records which daemons are included.
 #[derive(Debug, Default)]
 pub(crate) struct SumBuilder {
     members: Vec<Tag>,
     daemons: u32,
     entries: Vec<SocketAddr>,
-    /// What runs at each server.
+    /// The load on each server.
     pub(crate) loads: HashMap<Tag, Load>,
     spent: HashMap<Tag, Spent>,
-    /// How exchanges with each server went.
+    /// The outcomes of exchanges with each server.
     pub(crate) outcomes: HashMap<Tag, Outcomes>,
-    /// What became of the servers that ran suspected requests.
+    /// What happened to the servers that ran suspected requests.
     pub(crate) evidence: HashMap<Fingerprint, Evidence>,
-    /// How requests went in roll-outs.
+    /// The results of requests in roll-outs.
     pub(crate) rollouts: rollout::Reports,
 }
 
 impl SumBuilder {
-    /// Adds what was told.
+    /// Adds these figures.
     pub(crate) fn add(&mut self, stats: &DaemonStats) {
         add(&mut self.loads, &stats.loads);
         add(&mut self.spent, &stats.spent);
@@ -186,7 +191,7 @@
         }
     }
 
-    /// Adds one daemon's word; `entry` is where callers may be sent to it.
+    /// Adds one daemon; `entry` is its address for callers, if it accepts them.
     pub(crate) fn add_daemon(&mut self, tag: Tag, stats: &DaemonStats, entry: Option<SocketAddr>) {
         self.add(stats);
         self.members.push(tag);
@@ -194,7 +199,7 @@
         self.entries.extend(entry);
     }
 
-    /// Adds a part of the fleet, with one of its entries. Members are kept of whole halls only.
+    /// Adds a sum, with one of its entries. Of its members, only complete halls are recorded.
     pub(crate) fn add_sum(&mut self, sum: &Sum) {
         self.add(&sum.stats);
         self.members.extend(halls_of(sum));
@@ -202,12 +207,12 @@
         self.entries.extend(sum.entries.first());
     }
 
-    /// Leaves out servers with fewer requests than so many.
+    /// Removes the loads of servers with fewer than `least` requests.
     pub(crate) fn drop_light_loads(&mut self, min_runs: u32) {
         self.loads.retain(|_, load| load.runs >= min_runs);
     }
 
-    /// The sum, made now by the process of that clock.
+    /// The sum, dated by the clock of this process.
     pub(crate) fn sum(mut self, origin: Origin, clock: &Clock, now: Instant) -> Sum {
         self.entries.truncate(MIN_ENTRIES);
         Sum {
@@ -230,7 +235,7 @@
     }
 }
 
-/// The halls that a sum of other halls holds.
+/// The halls that are included in a sum.
 pub(crate) fn halls_of(sum: &Sum) -> Vec<Tag> {
     match sum.origin {
         Origin::Hall(hall) => vec![hall],
@@ -239,7 +244,7 @@
     }
 }
 
-/// Adds parts to sums by name.
+/// Adds each value to the sum under the same key.
 pub(crate) fn add<K: Copy + Eq + Hash, T: Default + AddAssign + Copy>(
     sums: &mut HashMap<K, T>,
     values: &[(K, T)],
--- a/src/gateway/tag.rs
+++ b/src/gateway/tag.rs
@@ -1,9 +1,10 @@
-//! Short names for messages between daemons, and orders that all daemons see alike.
+//! Hashes of names: short in messages between daemons, and an order that is the same in all
+//! daemons.
 
 use serde::{Deserialize, Serialize};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// A name by its hash; the same in every daemon of one build.
+/// The hash of a name; the same in every daemon of one build.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Tag(u64);
 
@@ -18,12 +19,12 @@
         Tag::hashed(&number)
     }
 
-    /// The tag of a pair; pairs with one half in common are ordered differently for each such half.
+    /// The tag of a pair. Combined with different tags, the same set of tags gets different orders.
     pub fn combined_with(self, other: Tag) -> Tag {
         Tag::hashed(&(self, other))
     }
 
-    /// Its number.
+    /// The hash value.
     pub fn value(self) -> u64 {
         self.0
     }
--- a/src/gateway/view.rs
+++ b/src/gateway/view.rs
@@ -1,4 +1,5 @@
-//! What a daemon has heard of the others: who speaks, who is ready, what runs where, what is spent.
+//! What a daemon knows of the others from their heartbeats: which are reachable and ready, what
+//! runs on which server, and how much of the retry budgets is spent.
 
 use crate::gateway::budget::{CellPeers, Others};
 use crate::gateway::cell::{CellId, Layout, rank};
@@ -14,88 +15,88 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Silence after which a daemon of the same cell is taken as gone for now: callers are not sent
-/// there, and its load is not counted; a relay has a successor. Almost three heartbeats. The same for
-/// a daemon that was greeted and has not answered.
+/// Silence after which a daemon of the same cell counts as unreachable: callers are not sent there,
+/// its load is not counted, and a relay is replaced. Almost three heartbeats. It also applies to a
+/// daemon that has not answered since the first heartbeat to it.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(700);
 /// The same for a daemon of another hall.
 const OTHER_HALL_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Time for which a daemon that was greeted in vain is not chosen again, unless it is heard.
+/// How long a daemon that didn't answer is not chosen again, unless a heartbeat arrives from it.
 const UNANSWERED_LIFETIME: Duration = Duration::from_secs(10);
-/// Silence after which a daemon that the store does not list is forgotten.
+/// Silence after which a daemon that the store does not list is removed.
 const UNLISTED_LIFETIME: Duration = Duration::from_secs(30);
-/// Time for which a relay tells its cell the same sum of other halls, in milliseconds: adding it up for
-/// each daemon of the cell would cost a relay most of its time where the fleet is large.
+/// How long a relay sends its cell the same sum of the other halls, in milliseconds. In a large
+/// fleet, computing it for each daemon of the cell would take most of a relay's time.
 const HALLS_SUM_CACHE_MS: u64 = 100;
-/// Other daemons that a heartbeat names.
+/// Number of other daemons whose addresses are in a heartbeat.
 const MAX_PEER_ADDRS: usize = 3;
-/// Longest time to a next heartbeat that is believed.
+/// Maximum heartbeat interval that is accepted from a peer.
 const MAX_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A daemon as its heartbeats tell.
+/// A daemon as described by its last heartbeat.
 #[derive(Debug)]
 struct Peer {
     daemon: Daemon,
-    /// Its name's tag.
+    /// The tag of its name.
     tag: Tag,
     boot: u64,
     /// Its clock in its last heartbeat.
     stamp: u64,
     last_seen: Instant,
-    /// Time within which its next heartbeat follows.
+    /// The interval within which its next heartbeat follows.
     interval: Duration,
     ready: bool,
-    /// Whether it chose this daemon as its contact.
+    /// Whether it expects heartbeats from this daemon in return.
     expects_replies: bool,
     cell: CellId,
-    /// Its own; nothing where it is of another cell.
+    /// Its own figures; empty if it is in another cell.
     stats: DaemonStats,
 }
 
-/// What a daemon tells of itself.
+/// What a daemon reports about itself.
 #[derive(Debug, Clone, Default)]
 pub struct OwnState {
-    /// What it has running and has spent.
+    /// Its load on the servers, its spent retry budget, and further figures.
     pub stats: DaemonStats,
-    /// Whether callers may be sent to it.
+    /// Whether it accepts callers.
     pub ready: bool,
 }
 
-/// See the module.
+/// What this daemon knows of the fleet.
 #[derive(Debug)]
 pub struct View {
     own: Daemon,
-    /// Its name's tag.
+    /// The tag of its name.
     tag: Tag,
     clock: Clock,
     layout: Layout,
     peers: HashMap<SocketAddr, Peer>,
-    /// Daemons that were greeted in vain, and when that was last seen.
+    /// Daemons that didn't answer, and when that was last observed.
     unanswered: HashMap<SocketAddr, Instant>,
     sums: Sums,
-    /// The sum of other halls that this daemon, as a relay, made last for all of its cell.
+    /// The sum of the other halls that this daemon, as a relay, last computed for its cell.
     cached_halls_sum: Option<Sum>,
-    /// The latest read of the store by any daemon, as far as told.
+    /// The latest known read of the store by any daemon.
     store_read: Option<Instant>,
-    /// By how much this daemon's pauses are longer than at full load.
+    /// The factor by which this daemon's heartbeat intervals are longer than at full load.
     interval_scale: IntervalScale,
-    /// Of what the fleet was last divided.
+    /// The inputs that the current layout was computed from.
     layout_inputs: Option<LayoutInputs>,
 }
 
-/// What a division of the fleet follows from.
+/// The inputs of a layout.
 #[derive(Debug, PartialEq)]
 struct LayoutInputs {
-    /// Names the list of daemons.
+    /// Identifies the list of daemons.
     listing: u64,
-    /// Daemons that are heard and not listed.
+    /// Known daemons that are not listed in the store.
     unlisted: Vec<SocketAddr>,
     /// Daemons that don't answer.
     silent: Vec<SocketAddr>,
 }
 
 impl View {
-    /// A view of one that has heard nothing.
+    /// A view without any heartbeats received.
     pub fn new(own: Daemon, clock: Clock) -> View {
         let layout = Layout::of(&own, &[], |_| false);
         View {
@@ -113,19 +114,20 @@
         }
     }
 
-    /// The clock by which others' words are dated.
+    /// The clock that dates the statements of other daemons.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// How the fleet is divided.
+    /// The division of the fleet.
     pub fn layout(&self) -> &Layout {
         &self.layout
     }
 
-    /// Divides the fleet into cells: the daemons that the store lists, and those heard of lately. Those that are
-    /// neither are forgotten. `tried` tells since when a daemon is being greeted. It is divided anew only where
-    /// something has changed.
+    /// Updates the division of the fleet into cells. It covers the daemons that the store lists and
+    /// those with a recent heartbeat; other daemons are removed. `tried` returns since when
+    /// heartbeats have been sent to a daemon. The layout is computed again only if its inputs have
+    /// changed.
     pub fn update_layout(
         &mut self,
         listing: &Listing,
@@ -145,7 +147,7 @@
         let mut unlisted: Vec<SocketAddr> =
             self.peers.keys().copied().filter(|addr| !is_listed(addr)).collect();
         unlisted.sort_unstable();
-        // Only those that were heard or greeted can be silent.
+        // Only daemons that have sent or been sent a heartbeat can be silent.
         let is_silent_now = |addr: &SocketAddr| self.is_silent(*addr, tried(*addr), now);
         let known = self.peers.keys().chain(self.unanswered.keys()).copied();
         let known = known.chain(self.layout.partners()).collect::<HashSet<SocketAddr>>();
@@ -153,25 +155,25 @@
             known.into_iter().filter(|a| self.unanswered.contains_key(a) || is_silent_now(a));
         let mut silent: Vec<SocketAddr> = silent.collect();
         silent.sort_unstable();
-        let division = LayoutInputs { listing: listing.number, unlisted, silent };
-        if self.layout_inputs.as_ref() == Some(&division) {
+        let inputs = LayoutInputs { listing: listing.number, unlisted, silent };
+        if self.layout_inputs.as_ref() == Some(&inputs) {
             return;
         }
         let mut others = listing.daemons.clone();
         others.retain(|daemon| daemon.vm != self.own.vm);
-        let reachable = division.unlisted.iter().filter_map(|addr| self.peers.get(addr));
+        let reachable = inputs.unlisted.iter().filter_map(|addr| self.peers.get(addr));
         others.extend(reachable.map(|p| p.daemon.clone()));
-        let is_silent = |addr| division.silent.binary_search(&addr).is_ok();
+        let is_silent = |addr| inputs.silent.binary_search(&addr).is_ok();
         self.layout = Layout::of(&self.own, &others, is_silent);
-        self.layout_inputs = Some(division);
+        self.layout_inputs = Some(inputs);
     }
 
-    /// Sets by how much this daemon's pauses are longer than at full load.
+    /// Sets the factor by which this daemon's heartbeat intervals are longer than at full load.
     pub fn set_interval_scale(&mut self, scale: IntervalScale) {
         self.interval_scale = scale;
     }
 
-    /// Time to the next heartbeat to a partner.
+    /// The interval of heartbeats to a partner.
     pub fn heartbeat_interval(&self, to: SocketAddr, relation: Relation, now: Instant) -> Duration {
         partner::heartbeat_interval(
             relation,
@@ -181,12 +183,12 @@
         )
     }
 
-    /// Time after a heartbeat before which changes of load are not told.
+    /// The minimum time after a heartbeat before a change of load causes the next one.
     pub fn spacing(&self, spacing: Duration) -> Duration {
         self.interval_scale.spacing(spacing)
     }
 
-    /// Whether a daemon, which is being greeted since `tried`, does not answer.
+    /// Whether a daemon that heartbeats have been sent to since `tried` does not answer.
     fn is_silent(&self, addr: SocketAddr, tried: Option<Instant>, now: Instant) -> bool {
         let peer = self.peers.get(&addr);
         let since = peer.map(|p| p.last_seen).max(tried);
@@ -194,8 +196,8 @@
         since.is_some_and(|since| elapsed(since, now) > silent)
     }
 
-    /// Notes a heartbeat, unless a later one of the same process came before it. Says whether it
-    /// was noted.
+    /// Stores a heartbeat, and returns whether it was stored. One that was overtaken by a later
+    /// heartbeat of the same process is ignored.
     pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat, now: Instant) -> bool {
         let addr = heartbeat.daemon.peers;
         let known = self.peers.get(&addr);
@@ -204,9 +206,9 @@
             return false;
         }
         if known.is_none_or(|known| known.boot != heartbeat.boot) {
-            info!(peer = heartbeat.daemon.vm.as_str(), addr = addr.to_string().as_str(); "peer heard");
+            info!(peer = heartbeat.daemon.vm.as_str(), addr = addr.to_string().as_str(); "first heartbeat from peer");
         }
-        // What can't be dated is told again with the next heartbeat, which can.
+        // What can't be dated is skipped: the next heartbeat repeats it with an echo.
         if let Some(sent) = self.clock.earliest_send_time(heartbeat.echo, now) {
             self.note_store_read(heartbeat.store_read_age_ms.and_then(|ms| minus_millis(sent, ms)));
             self.merge_sums(heartbeat, sent, now);
@@ -228,7 +230,8 @@
         true
     }
 
-    /// Takes in the sums that this daemon does not make itself.
+    /// Merges the sums of other cells and halls; the sums that this daemon computes itself are
+    /// skipped.
     fn merge_sums(&mut self, heartbeat: &Heartbeat, sent: Instant, now: Instant) {
         let own = self.layout.own_cell;
         let source = match heartbeat.cell {
@@ -248,17 +251,17 @@
         }
     }
 
-    /// Notes that some daemon has read the store.
+    /// Records a read of the store by any daemon.
     pub fn note_store_read(&mut self, at: Option<Instant>) {
         self.store_read = self.store_read.max(at);
     }
 
-    /// When the store was last read by any daemon, as far as told.
+    /// The latest known read of the store by any daemon.
     pub fn last_store_read(&self) -> Option<Instant> {
         self.store_read
     }
 
-    /// The clock of a daemon, to be returned to it.
+    /// The last known clock of a daemon, to be echoed to it.
     pub fn echo(&self, addr: SocketAddr, now: Instant) -> Option<Echo> {
         let peer = self.peers.get(&addr)?;
         Some(Echo {
@@ -268,12 +271,12 @@
         })
     }
 
-    /// Whether a daemon has been heard and is not forgotten.
+    /// Whether a heartbeat of this daemon is stored.
     pub fn has_peer(&self, addr: SocketAddr) -> bool {
         self.peers.contains_key(&addr)
     }
 
-    /// Whether a daemon is heard.
+    /// Whether a daemon has sent a heartbeat recently enough.
     pub fn can_reach(&self, addr: SocketAddr, now: Instant) -> bool {
         self.peers.get(&addr).is_some_and(|p| self.is_reachable(p, now))
     }
@@ -282,7 +285,7 @@
         elapsed(peer.last_seen, now) <= self.silence_timeout(peer)
     }
 
-    /// Silence after which a daemon is taken as gone for now.
+    /// Silence after which a daemon counts as unreachable.
     fn silence_timeout(&self, peer: &Peer) -> Duration {
         let is_near = peer.cell.hall == self.layout.own_cell.hall;
         partner::silence_timeout(
@@ -291,7 +294,8 @@
         )
     }
 
-    /// What a daemon is to this one; `None` where no heartbeats are due to it, or it was never heard.
+    /// This daemon's relation to another one; `None` if no heartbeats are due to it or none was
+    /// ever received.
     pub fn relation(&self, addr: SocketAddr, now: Instant) -> Option<Relation> {
         let layout = &self.layout;
         let chosen = [
@@ -320,8 +324,9 @@
         all.into_iter().collect()
     }
 
-    /// How many daemons come before this one in the order in which they read the store: those of
-    /// its cell that rank before it, as they would as its relay, and a daemon for each cell of its hall and each hall that does.
+    /// How many daemons precede this one in the order of reading the store: the daemons of its cell
+    /// with a better rank as relay, and one for each preceding cell of its hall and each preceding
+    /// hall.
     pub fn readers_before(&self, now: Instant) -> usize {
         let near =
             self.reachable_in_cell(now).filter(|p| rank(&p.daemon) < rank(&self.own)).count();
@@ -332,15 +337,16 @@
         near + cells + halls.into_iter().filter(|hall| *hall < self.layout.own_cell.hall).count()
     }
 
-    /// The place of this daemon in the order in which all daemons begin to ask a store that doesn't
-    /// answer, among `others` and itself. It is derived from its name alone: who is heard doesn't matter.
+    /// The position of this daemon among itself and `others` when the store doesn't answer and all
+    /// daemons start to read it in turn. It depends on the daemon's name alone, not on which
+    /// daemons are reachable.
     pub fn store_retry_turn(&self, others: usize) -> u32 {
         let fraction = self.tag.value() as f64 / u64::MAX as f64;
         (fraction * (others + 1) as f64) as u32
     }
 
-    /// Where callers may be sent, this daemon not among them: to its own cell, and further where the
-    /// cell has few.
+    /// Addresses of other daemons for callers: those of this cell, and those of other cells and
+    /// halls if the cell has too few.
     pub fn entries(&self, now: Instant) -> Vec<SocketAddr> {
         let ready = |p: &&Peer| p.ready;
         let mut entries: Vec<SocketAddr> =
@@ -353,8 +359,8 @@
         entries
     }
 
-    /// Where the other daemons of this cell that are heard and ready are reached by daemons, as far as they hold
-    /// room at a server, where `count` daemons of the cell do.
+    /// The addresses for daemons of those reachable and ready peers in this cell that hold quota at
+    /// a server, given that `count` daemons of the cell hold it.
     pub fn quota_holders_in_cell(
         &self,
         server: Tag,
@@ -369,7 +375,7 @@
         others.filter(|p| p.ready).map(|p| p.daemon.peers).collect()
     }
 
-    /// Where callers may be sent in other cells and halls, as far as they are heard.
+    /// Addresses for callers in other cells and halls, as far as these are reachable.
     pub fn remote_entries(&self, now: Instant) -> Vec<SocketAddr> {
         let others = self.peers.values().filter(|p| p.cell != self.layout.own_cell);
         let reachable = others.filter(|p| p.ready && self.is_reachable(p, now));
@@ -378,8 +384,8 @@
         reachable.map(|p| p.daemon.callers).chain(from_sums).collect()
     }
 
-    /// A heartbeat to such a partner, with what this daemon knows of others; nothing yet of the store and
-    /// of servers.
+    /// A heartbeat to a partner without the status of the store's copy and the observations of
+    /// servers, which the caller adds.
     pub fn heartbeat(
         &mut self,
         to: SocketAddr,
@@ -399,7 +405,7 @@
             stamp: self.clock.stamp(now),
             echo: self.echo(to, now),
             ready: own.ready,
-            // Pauses are drawn up to a tenth longer.
+            // The actual intervals vary by up to a tenth.
             interval_ms: self.heartbeat_interval(to, relation, now).mul_f64(1.1).as_millis() as u32,
             expects_reply: chosen || relation == Relation::Unknown,
             copy_status: None,
@@ -413,7 +419,7 @@
         }
     }
 
-    /// The sums that a heartbeat to such a partner carries, as far as they are due.
+    /// The sums that are due with a heartbeat to a partner.
     fn sums_for(
         &mut self,
         to: SocketAddr,
@@ -455,7 +461,7 @@
         sums
     }
 
-    /// What this daemon's cell told.
+    /// The sum of this daemon's cell.
     fn cell_sum(&self, own: &OwnState, now: Instant) -> Sum {
         let mut adder = SumBuilder::default();
         adder.add_daemon(self.tag, &own.stats, own.ready.then_some(self.own.callers));
@@ -465,7 +471,7 @@
         adder.sum(Origin::Cell(self.layout.own_cell), &self.clock, now)
     }
 
-    /// What this daemon's hall told.
+    /// The sum of this daemon's hall.
     fn hall_sum(&self, own: &OwnState, now: Instant) -> Sum {
         let mut adder = SumBuilder::default();
         for cell in self.other_cells(now).into_iter().chain([&self.cell_sum(own, now)]) {
@@ -475,13 +481,13 @@
         adder.sum(Origin::Hall(self.layout.own_cell.hall), &self.clock, now)
     }
 
-    /// What other halls told, made anew once in a while; `None` where none did.
+    /// The sum of the other halls, cached for a short time; `None` if none is known.
     fn halls_sum(&mut self, now: Instant) -> Option<Sum> {
         let age = |sum: &Sum| self.clock.stamp(now).saturating_sub(sum.stamp) / 1_000;
         let recent = self.cached_halls_sum.take().filter(|sum| age(sum) < HALLS_SUM_CACHE_MS);
         let sum = recent.or_else(|| self.make_halls_sum(now))?;
         self.cached_halls_sum = Some(sum.clone());
-        // Below the bound above.
+        // It is below `HALLS_SUM_CACHE_MS`.
         Some(Sum { age_ms: age(&sum) as u32, ..sum })
     }
 
@@ -492,7 +498,7 @@
         (!halls.is_empty()).then(|| adder.sum(Origin::OtherHalls, &self.clock, now))
     }
 
-    /// What the other daemons told of servers, and of requests under which servers ended.
+    /// The other daemons' figures on servers, on quarantined requests and on roll-outs.
     pub fn peer_stats(&self, now: Instant) -> PeerStats {
         let mut adder = SumBuilder::default();
         self.reachable_in_cell(now).for_each(|peer| adder.add(&peer.stats));
@@ -503,7 +509,7 @@
         PeerStats { loads, outcomes, evidence, rollouts }
     }
 
-    /// What the daemons of the same cell that rank before this one have running at a server.
+    /// The load that the daemons of the same cell with a smaller tag put on a server.
     pub fn higher_ranked_load(&self, server: Tag, now: Instant) -> Load {
         let mut ahead = Load::default();
         for peer in self.reachable_in_cell(now).filter(|peer| peer.tag < self.tag) {
@@ -513,8 +519,8 @@
         ahead
     }
 
-    /// What the daemons that share budgets have spent, as far as they are heard. `listed` is how
-    /// many other daemons the store lists.
+    /// What the reachable daemons have spent of the shared retry budgets. `listed` is the number of
+    /// other daemons that the store lists.
     pub fn spent(&self, listed: usize, now: Instant) -> Others {
         let mut spent = HashMap::new();
         let mut near = CellPeers { own: self.tag, ..CellPeers::default() };
@@ -535,7 +541,8 @@
         Others { daemons: listed.max(recent).max(reachable), reachable, spent, cell_peers: near }
     }
 
-    /// The share of all daemons that are of this hall and are heard through sums.
+    /// The fraction of all daemons that are in other cells of this hall and known only through
+    /// sums.
     pub fn summarized_fraction(&self, now: Instant) -> f64 {
         let count = |sums: Vec<&Sum>| sums.iter().map(|sum| sum.daemons).sum::<u32>();
         let (late, far) = (count(self.other_cells(now)), count(self.other_halls(now)));
@@ -543,12 +550,12 @@
         f64::from(late) / (f64::from(late) + f64::from(far) + near as f64)
     }
 
-    /// Daemons that are heard themselves.
+    /// Number of daemons that are reachable directly.
     pub fn count(&self, now: Instant) -> usize {
         self.peers.keys().filter(|addr| self.can_reach(**addr, now)).count()
     }
 
-    /// The daemons of this cell that are heard.
+    /// The reachable daemons of this cell.
     fn reachable_in_cell(&self, now: Instant) -> impl Iterator<Item = &Peer> {
         let same = self.peers.values().filter(|p| p.cell == self.layout.own_cell);
         same.filter(move |p| self.is_reachable(p, now))
@@ -560,12 +567,12 @@
         self.sums.cells(self.layout.own_cell, near, now)
     }
 
-    /// Sums of other halls, or one of all of them.
+    /// Sums of other halls, or one sum of all of them.
     fn other_halls(&self, now: Instant) -> Vec<&Sum> {
         self.sums.halls(self.layout.is_relay(), now)
     }
 
-    /// Sums of all daemons but those of this cell.
+    /// Sums that together cover all daemons outside this cell.
     fn distant_sums(&self, now: Instant) -> impl Iterator<Item = &Sum> {
         self.other_cells(now).into_iter().chain(self.other_halls(now))
     }
--- a/tests/lags.rs
+++ b/tests/lags.rs
@@ -111,7 +111,7 @@
 fn a_time_of_day_that_jumps_moves_no_lag() {
     let lines = [
         says(500, "vm-1", true),
-        line(300, "vm-2", "peer heard", ""),
+        line(300, "vm-2", "first heartbeat from peer", ""),
         line_of(EPOCH + 60_000, 700, "vm-2", "backend server gone", ",\"server\":\"i-1\""),
         line(900, "vm-2", "leaving", ""),
         "a table of the bench".to_string(),
