--- a/tests/limits/play.rs
+++ b/tests/limits/play.rs
@@ -196,14 +196,14 @@
         known.budget.set_others(others);
         let budget = &mut known.budget;
         let (part, cell_part) = match self.way {
-            Way::Equal => (1.0 / listed as f64, budget.near().count() as f64 / listed as f64),
+            Way::Equal => (1.0 / listed as f64, budget.cell_peers().count() as f64 / listed as f64),
             _ => {
                 let service = Play::service();
                 (budget.request_fraction(&service, now), budget.cell_fraction(&service, now))
             }
         };
         let rank = Rank { before: i, daemons: listed };
-        let near = budget.near();
+        let near = budget.cell_peers();
         let share = |server: Tag| {
             let (daemons, place) = (near.count(), near.place(server));
             let cell = CellShare { fraction: cell_part, daemons, position: place };
@@ -220,7 +220,7 @@
         const SHARING: usize = 64;
         let known = &mut self.known[i];
         let holders = known.limit().holders();
-        let all_hold = holders == known.budget.near().count();
+        let all_hold = holders == known.budget.cell_peers().count();
         let used_up = known.budget.rate(&Play::service(), now) > rate;
         if self.way == Way::Equal || (all_hold && used_up) {
             return false;
@@ -258,7 +258,7 @@
         }
         let sent = known.sent.len() as u32;
         let mut spent = known.budget.spent(now);
-        let counted = Spent { requests: sent, repeats: 0 };
+        let counted = Spent { requests: sent, retries: 0 };
         spent.push((Tag::of("sent"), counted));
         let node = &mut self.fleet.nodes[i];
         node.own.stats = DaemonStats { spent, ..DaemonStats::default() };
