--- a/src/gateway/cluster/answering.rs
+++ b/src/gateway/cluster/answering.rs
@@ -1,4 +1,5 @@
-//! Answering peers: their heartbeats, what their copies of the store lack, and room at servers in need.
+//! Handles messages from peers: heartbeats, requests for missing changes of the store, and requests
+//! for quota.
 
 use super::Cluster;
 use crate::gateway::heartbeat::{Heartbeat, Request};
@@ -11,22 +12,24 @@
 use log::warn;
 use std::sync::Arc;
 
-/// The side of [`Cluster`] that answers peers.
-pub(super) struct Answering(pub(super) Arc<Cluster>);
+/// Handles messages from peers for a [`Cluster`].
+pub(super) struct PeerHandler(pub(super) Arc<Cluster>);
 
-impl Answering {
-    /// Small values that a copy at `position` lacks. A copy that lacks everything waits its turn.
-    async fn give_small(&self, position: Position, peer_stream: &mut PeerStream) {
+impl PeerHandler {
+    /// Sends the small values that a copy at `position` lacks. A full copy is sent only if an
+    /// update permit is free.
+    async fn send_small_values(&self, position: Position, peer_stream: &mut PeerStream) {
         let now = time::now();
         match self.0.mirror.update_after(position, now).filter(|update| !update.full) {
             Some(update) => send(Some(update), peer_stream).await,
-            None => self.give_all(position, peer_stream).await,
+            None => self.send_all_values(position, peer_stream).await,
         }
     }
 
-    /// All that a copy at `position` lacks; nothing while this daemon gives to others.
-    async fn give_all(&self, position: Position, peer_stream: &mut PeerStream) {
-        let permit = self.0.giving.try_acquire();
+    /// Sends everything that a copy at `position` lacks, or nothing if too many updates are being
+    /// sent already.
+    async fn send_all_values(&self, position: Position, peer_stream: &mut PeerStream) {
+        let permit = self.0.update_permits.try_acquire();
         let update = match &permit {
             Ok(_) => self.0.mirror.all_after(position, time::now()),
             Err(_) => None,
@@ -41,11 +44,11 @@
     }
 }
 
-impl Handler for Answering {
+impl Handler for PeerHandler {
     fn on_message(&self, bytes: &[u8]) {
         match message::decode::<Heartbeat>(bytes) {
-            Ok(heartbeat) => self.0.hear(heartbeat, time::now()),
-            Err(e) => warn!(why = format!("{e:?}").as_str(); "heartbeat not readable"),
+            Ok(heartbeat) => self.0.receive(heartbeat, time::now()),
+            Err(e) => warn!(why = format!("{e:?}").as_str(); "cannot decode heartbeat"),
         }
     }
 
@@ -53,16 +56,18 @@
         Box::pin(async move {
             match message::decode::<Request>(&first) {
                 Ok(Request::SmallAfter(position)) => {
-                    self.give_small(position, &mut peer_stream).await
+                    self.send_small_values(position, &mut peer_stream).await
+                }
+                Ok(Request::AllAfter(position)) => {
+                    self.send_all_values(position, &mut peer_stream).await
                 }
-                Ok(Request::AllAfter(position)) => self.give_all(position, &mut peer_stream).await,
                 Ok(Request::Quota(wanted)) => {
                     let given = self.0.gateway.lend_quota(&wanted, time::now());
                     if peer_stream.send(&given).await.is_ok() {
                         peer_stream.finish().await;
                     }
                 }
-                Err(e) => warn!(why = format!("{e:?}").as_str(); "request of a peer not readable"),
+                Err(e) => warn!(why = format!("{e:?}").as_str(); "cannot decode request from peer"),
             }
         })
     }
