--- a/src/gateway/cold.rs
+++ b/src/gateway/cold.rs
@@ -101,7 +101,7 @@
     /// Since when it may be cold without having said so.
     maybe_since: Option<Instant>,
     /// Whether it was not reached since it last answered: it may start again meanwhile.
-    missed: bool,
+    unreachable: bool,
 }
 
 impl Cold {
@@ -119,12 +119,12 @@
 
     /// It was not reached.
     pub(crate) fn note_unreachable(&mut self) {
-        self.missed = true;
+        self.unreachable = true;
     }
 
     /// It has answered; after it could not be reached, it may have started again.
     pub(crate) fn note_answer(&mut self, now: Instant) {
-        if std::mem::take(&mut self.missed) {
+        if std::mem::take(&mut self.unreachable) {
             self.note_started(now);
         }
     }
@@ -135,7 +135,7 @@
             return false;
         }
         let lately = |at: Instant| now.saturating_duration_since(at) < warm_up.time + REPORT_DELAY;
-        self.missed
+        self.unreachable
             || self.until.is_some_and(|until| now < until)
             || self.maybe_since.is_some_and(lately)
     }
--- a/src/gateway/limit.rs
+++ b/src/gateway/limit.rs
@@ -97,7 +97,7 @@
     /// Requests that this daemon may send, parts of one included; `None` until it first looks.
     quota: Option<f64>,
     /// The moment for which that holds.
-    at: Option<Instant>,
+    updated: Option<Instant>,
     /// Whether this daemon keeps whole requests without end, as those of small fleets do.
     accumulates: bool,
     /// How many daemons of its cell do; none where room lapses.
@@ -126,7 +126,7 @@
 impl Limit {
     /// Takes in what the server said at a moment, unless it has said something since. Says whether other
     /// daemons should hear of it at once.
-    pub fn hear(&mut self, rate: Option<f64>, said: Instant, now: Instant) -> bool {
+    pub fn update(&mut self, rate: Option<f64>, said: Instant, now: Instant) -> bool {
         if self.reported_at.is_some_and(|known| said <= known) {
             return false;
         }
@@ -136,7 +136,7 @@
             (None, None) => false,
             (Some(before), Some(rate)) => (rate - before).abs() > before * URGENT_CHANGE,
             _ => {
-                (self.quota, self.at) = (None, Some(now));
+                (self.quota, self.updated) = (None, Some(now));
                 self.ended = rate.is_none().then_some(now);
                 true
             }
@@ -155,7 +155,7 @@
 
     /// Brings the room up to now.
     pub fn update_quota(&mut self, share: Share, now: Instant) {
-        let since = self.at.replace(now).unwrap_or(now);
+        let since = self.updated.replace(now).unwrap_or(now);
         let at_once = self.refill_rate() * BURST_TIME.as_secs_f64() + EXTRA_BURST;
         let (holders, fraction) = holders_and_fraction(share, at_once);
         self.holders = holders;
--- a/src/gateway/reach.rs
+++ b/src/gateway/reach.rs
@@ -18,7 +18,7 @@
     failures: u32,
     /// Until when it is known to refuse connections, here or at another daemon: all others would be
     /// refused as well.
-    refuses: Option<Instant>,
+    refusing_until: Option<Instant>,
 }
 
 impl Reachability {
@@ -42,7 +42,7 @@
     pub(crate) fn mark_refusing(&mut self, until: Instant, now: Instant) {
         if until > now {
             self.skip_until = self.skip_until.max(Some(until));
-            self.refuses = self.refuses.max(Some(until));
+            self.refusing_until = self.refusing_until.max(Some(until));
         }
     }
 
@@ -54,7 +54,7 @@
     /// For how long other daemons should pass over the server as well; `None` where only this one may
     /// have lost it. Passed on from daemon to daemon it does not grow.
     pub(crate) fn for_peers(&self, now: Instant) -> Option<Duration> {
-        let left = self.refuses?.saturating_duration_since(now);
+        let left = self.refusing_until?.saturating_duration_since(now);
         (!left.is_zero()).then_some(left)
     }
 }
--- a/src/gateway/remarks.rs
+++ b/src/gateway/remarks.rs
@@ -26,13 +26,13 @@
             return;
         }
         let id = self.server_id(server).unwrap_or_default();
-        if new.leaves {
+        if new.leaving {
             // The store may say so much later, or never, and every daemon sends requests there until it knows.
             info!(server = &*id; "server says that it leaves");
             self.signal_urgent_change();
         }
-        if let Some(rest) = remarks.backoff.filter(|_| new.backs_off) {
-            info!(server = &*id, ms = rest.as_millis() as u64; "server asks for rest");
+        if let Some(backoff) = remarks.backoff.filter(|_| new.backs_off) {
+            info!(server = &*id, ms = backoff.as_millis() as u64; "server asks for rest");
         }
         if new.limit {
             self.metrics.limited_servers.set(self.servers().count_limited() as i64);
@@ -88,8 +88,8 @@
             info!(id = request, server = &*id, told_ms = since(at); "sent to a server that leaves");
             self.metrics.unheeded_sendings.with_label_values(&["leaving"]).inc();
         }
-        if let Some(rest) = condition.backoff(now) {
-            info!(id = request, server = &*id, told_ms = since(rest.requested_at); "sent to a server that rests");
+        if let Some(backoff) = condition.backoff(now) {
+            info!(id = request, server = &*id, told_ms = since(backoff.requested_at); "sent to a server that rests");
             self.metrics.unheeded_sendings.with_label_values(&["rest"]).inc();
         }
     }
--- a/src/gateway/servers.rs
+++ b/src/gateway/servers.rs
@@ -336,19 +336,19 @@
     /// earliest. What passes is not taken over where that isn't known.
     pub fn merge_observations(
         &mut self,
-        signs: &Observations,
+        observations: &Observations,
         sent: Option<Instant>,
         now: Instant,
     ) {
         let mut leaving = Vec::new();
-        for tag in &signs.leaving {
+        for tag in &observations.leaving {
             if let Some((key, server)) = self.not_known_to_leave(*tag) {
                 leaving.push(server.record.id.to_string());
                 server.mark_leaving(now);
                 self.reportable.insert(key);
             }
         }
-        for (tag, left) in &signs.refusing {
+        for (tag, left) in &observations.refusing {
             if let (Some((key, server)), Some(sent)) = (self.not_known_to_leave(*tag), sent) {
                 server.reach.mark_refusing(sent + Duration::from_millis((*left).into()), now);
                 self.reportable.insert(key);
@@ -358,7 +358,7 @@
             info!(leaving_ids = leaving.join(",").as_str(); "a peer says that servers leave");
         }
         if let Some(sent) = sent {
-            self.merge_limits(&signs.limits, sent, now);
+            self.merge_limits(&observations.limits, sent, now);
         }
     }
 
@@ -487,19 +487,19 @@
 
     /// Sets what the other daemons have at each server and how their exchanges went. Servers that are
     /// not named have nothing of theirs.
-    pub fn set_peer_stats(&mut self, heard: &PeerStats) {
+    pub fn set_peer_stats(&mut self, stats: &PeerStats) {
         for key in std::mem::take(&mut self.reported) {
             if let Some(server) = self.arena.get_mut(key) {
                 (server.peer_load, server.peer_outcomes) = Default::default();
             }
         }
-        for (tag, load) in &heard.loads {
+        for (tag, load) in &stats.loads {
             if let Some((key, server)) = get_by_tag_mut(&self.by_tag, &mut self.arena, *tag) {
                 server.peer_load = *load;
                 self.reported.push(key);
             }
         }
-        for (tag, outcomes) in &heard.outcomes {
+        for (tag, outcomes) in &stats.outcomes {
             if let Some((key, server)) = get_by_tag_mut(&self.by_tag, &mut self.arena, *tag) {
                 server.peer_outcomes = *outcomes;
                 self.reported.push(key);
--- a/src/gateway/servers/limits.rs
+++ b/src/gateway/servers/limits.rs
@@ -25,8 +25,8 @@
             return false;
         };
         let is_new = match remark {
-            LimitRemark::Unlimited => server.condition.limit.hear(None, asked, now),
-            LimitRemark::Rate(rate) => server.condition.limit.hear(Some(rate), now, now),
+            LimitRemark::Unlimited => server.condition.limit.update(None, asked, now),
+            LimitRemark::Rate(rate) => server.condition.limit.update(Some(rate), now, now),
             LimitRemark::Unknown => false,
         };
         self.refresh_limited(key, now);
@@ -108,15 +108,15 @@
         sent: Instant,
         now: Instant,
     ) {
-        for (tag, told) in limits {
+        for (tag, report) in limits {
             let Some((key, server)) = get_by_tag_mut(&self.by_tag, &mut self.arena, *tag) else {
                 continue;
             };
-            let Some(said) = minus_millis(sent, told.age_ms) else {
+            let Some(said) = minus_millis(sent, report.age_ms) else {
                 continue;
             };
-            if server.condition.limit.hear(told.rate, said, now) {
-                info!(server = &*server.record.id, per_second = told.rate; "a peer says what a server takes");
+            if server.condition.limit.update(report.rate, said, now) {
+                info!(server = &*server.record.id, per_second = report.rate; "a peer says what a server takes");
             }
             self.refresh_limited(key, now);
         }
--- a/src/gateway/servers/remarks.rs
+++ b/src/gateway/servers/remarks.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct NewRemarks {
     /// That the server leaves.
-    pub leaves: bool,
+    pub leaving: bool,
     /// That it rests, or rests longer.
     pub backs_off: bool,
     /// A limit, its end, or another one.
@@ -43,7 +43,7 @@
         now: Instant,
     ) -> NewRemarks {
         let limit = self.update_limit(key, remarks.limit, asked, now);
-        let leaves = remarks.leaving && self.mark_leaving(key, now);
+        let leaving = remarks.leaving && self.mark_leaving(key, now);
         let Some(server) = self.arena.get_mut(key) else {
             return NewRemarks::default();
         };
@@ -51,11 +51,11 @@
         if let Some(left) = remarks.cold {
             condition.cold.reported(left, now);
         }
-        let rests = remarks.backoff.is_some_and(|time| condition.extend_backoff(time, now));
-        if rests {
+        let backs_off = remarks.backoff.is_some_and(|time| condition.extend_backoff(time, now));
+        if backs_off {
             self.backing_off.insert(key);
         }
-        NewRemarks { leaves, backs_off: rests, limit }
+        NewRemarks { leaving, backs_off, limit }
     }
 
     /// Whether a server has asked this daemon for rest, and still rests.
@@ -73,11 +73,11 @@
         let arena = &self.arena;
         self.backing_off.retain(|key| {
             let server = arena.get(*key);
-            let rests = server.is_some_and(|server| server.is_backing_off(now));
-            if let Some(server) = server.filter(|_| !rests) {
+            let backing_off = server.is_some_and(|server| server.is_backing_off(now));
+            if let Some(server) = server.filter(|_| !backing_off) {
                 info!(server = &*server.record.id; "server's rest is over");
             }
-            rests
+            backing_off
         });
     }
 
@@ -88,12 +88,12 @@
         may_serve: impl Fn(&Server) -> bool,
         now: Instant,
     ) -> Option<Backoffs> {
-        let mut rested = None;
+        let mut total = None;
         for (_, server) in self.open(service).filter(|(_, server)| may_serve(server)) {
-            let left = server.condition.backoff(now).map(|rest| rest.until - now);
+            let left = server.condition.backoff(now).map(|backoff| backoff.until - now);
             let one = Backoffs { first: left, all: left.is_some() };
-            rested = Some(rested.map_or(one, |others: Backoffs| others.merge(one)));
+            total = Some(total.map_or(one, |others: Backoffs| others.merge(one)));
         }
-        rested
+        total
     }
 }
--- a/tests/remarks.rs
+++ b/tests/remarks.rs
@@ -55,8 +55,8 @@
     let (mut servers, now) = (Servers::default(), Instant::now());
     let key = idle_server(&mut servers);
     let record = servers.get(key).unwrap().record.clone();
-    assert!(servers.handle_remarks(key, &LEAVES, now, now).leaves);
-    assert!(!servers.handle_remarks(key, &LEAVES, now, now).leaves, "it is known");
+    assert!(servers.handle_remarks(key, &LEAVES, now, now).leaving);
+    assert!(!servers.handle_remarks(key, &LEAVES, now, now).leaving, "it is known");
     let free = Remarks { limit: LimitRemark::Unlimited, ..Remarks::default() };
     servers.handle_remarks(key, &free, now, now + Duration::from_secs(3));
     servers.suspect(key, now);
