--- a/src/gateway/cold.rs
+++ b/src/gateway/cold.rs
@@ -1,24 +1,24 @@
-//! Cold servers: one that has just started bears fewer requests a second, and falls over at many more.
+//! Cold servers: one that has just started handles fewer requests a second, and crashes under many more.
 //!
-//! The bound holds for all daemons together, and a server is cold for about a second: too short for
-//! daemons to hear of each other's sendings. So each daemon has a fixed share that needs no word from the
-//! others. Daemons rank themselves by name, and a cold server takes requests from so many of them, counted
-//! from a place of its own, as the bound has requests; of hundreds of daemons each sends to few cold
-//! servers, and each cold server gets from few daemons. Shares by recent demand, told in sums, would be
-//! larger where daemons are loaded unevenly, but rest on words that are late just when all start at once
-//! or are cut off from each other.
+//! The bound applies to all daemons together, and a server is cold for only about a second: too short for
+//! daemons to exchange counts. So each daemon has a fixed share that needs no communication. Daemons rank
+//! themselves by name. A cold server takes requests from as many daemons as the bound allows requests,
+//! counted from a start position that differs from server to server. Among hundreds of daemons, each
+//! therefore sends to few cold servers, and each cold server gets requests from few daemons. Shares in
+//! proportion to recent demand would be larger where daemons are loaded unevenly, but rely on messages that
+//! are late exactly when all daemons start at once or are partitioned.
 
 use crate::gateway::tag::Tag;
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// The span of the bound.
+/// Time window over which requests are counted against the bound.
 const WINDOW: Duration = Duration::from_secs(1);
-/// Part of the bound that is used. The rest is for requests that were sent within more than a second and
-/// arrive within one, and for daemons that differ for a moment about who they are.
+/// Fraction of the bound that is used. The rest covers requests that were sent over more than a second and
+/// arrive within one, and daemons that briefly disagree about the list of daemons.
 const USED_FRACTION: f64 = 0.7;
-/// Time for which a server may be cold before its entry says so, and for which an entry says so too late:
-/// servers write every 1.2 s, and the store's word takes up to 0.8 s.
+/// Longest delay until a server's entry shows that it is cold: servers write their entry every 1.2 s, and a
+/// change takes up to 0.8 s to arrive from the store.
 const REPORT_DELAY: Duration = Duration::from_millis(2_000);
 
 /// How servers of a service warm up.
@@ -31,105 +31,105 @@
 }
 
 impl WarmUp {
-    /// Whether servers are cold at all.
+    /// Whether servers have a cold phase at all.
     fn is_enabled(self) -> bool {
         !self.time.is_zero() && self.rate > 0.0
     }
 }
 
-/// What the platform allows beyond what a cold server can handle.
+/// How far the platform tolerates more than a cold server's rate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdBounds {
-    /// Factor on the rate.
+    /// Factor by which the rate is multiplied.
     pub excess: f64,
-    /// Requests a second besides.
+    /// Requests a second that are added.
     pub slack: f64,
 }
 
 impl Default for ColdBounds {
-    /// Nothing beyond it.
+    /// Allows no more than the rate.
     fn default() -> ColdBounds {
         ColdBounds { excess: 1.0, slack: 0.0 }
     }
 }
 
-/// This daemon's place among those that may send requests.
+/// Position of this daemon, by name, among all daemons that may send requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rank {
-    /// How many daemons come before it by name.
+    /// Number of daemons that come before it by name.
     pub before: usize,
-    /// How many there are, this one included.
+    /// Number of daemons, this one included.
     pub daemons: usize,
 }
 
 impl Default for Rank {
-    /// The only one.
+    /// The rank of the only daemon.
     fn default() -> Rank {
         Rank { before: 0, daemons: 1 }
     }
 }
 
 impl Rank {
-    /// Requests a second that this daemon may send to a cold server: its part of what all together may.
+    /// Requests a second that this daemon may send to a cold server.
     pub fn share(self, server: Tag, warm_up: WarmUp, bounds: ColdBounds) -> usize {
         let all = (warm_up.rate * bounds.excess + bounds.slack) * USED_FRACTION;
         let all = all as usize;
         let daemons = self.daemons.max(1);
         let place = self.position(server);
-        // What doesn't divide goes to those that come first, as seen from the server's own place.
+        // The remainder goes to the first daemons, counted from the server's start position.
         all / daemons + usize::from(place < all % daemons)
     }
 
-    /// This daemon's place among all of them, counted from one that each server has of its own.
+    /// Position of this daemon, counted from a start position that depends on the server.
     fn position(self, server: Tag) -> usize {
         let daemons = self.daemons.max(1);
         let first = (server.value() % daemons as u64) as usize;
         (self.before + daemons - first) % daemons
     }
 
-    /// The same as a part of all places.
+    /// Position of this daemon as a fraction of all positions.
     pub fn phase(self, server: Tag) -> f64 {
         self.position(server) as f64 / self.daemons.max(1) as f64
     }
 }
 
-/// Whether a server is cold, as far as known.
+/// What is known about whether a server is cold.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Cold {
-    /// Until when it said that it is cold.
+    /// Until when it is cold by its own report.
     until: Option<Instant>,
-    /// Since when it may be cold without having said so.
+    /// When it may have started without having reported it.
     maybe_since: Option<Instant>,
-    /// Whether it was not reached since it last answered: it may start again meanwhile.
+    /// Whether a connection has failed since its last answer: it may be restarting.
     unreachable: bool,
 }
 
 impl Cold {
-    /// It said how long it stays cold, some time before now.
+    /// Takes in the server's report, made before `now`, of how long it stays cold.
     pub(crate) fn reported(&mut self, left: Duration, now: Instant) {
-        // A time that has no end says nothing.
+        // A duration that overflows the clock is ignored.
         let until = now.checked_add(left).filter(|until| *until > now);
         self.until = self.until.max(until);
     }
 
-    /// It has just started, or may have turned cold.
+    /// Notes that the server may just have started.
     pub(crate) fn note_started(&mut self, now: Instant) {
         self.maybe_since = Some(now);
     }
 
-    /// It was not reached.
+    /// Notes a failed connection.
     pub(crate) fn note_unreachable(&mut self) {
         self.unreachable = true;
     }
 
-    /// It has answered; after it could not be reached, it may have started again.
+    /// Notes an answer; one after a failed connection may come from a restarted server.
     pub(crate) fn note_answer(&mut self, now: Instant) {
         if std::mem::take(&mut self.unreachable) {
             self.note_started(now);
         }
     }
 
-    /// Whether it is cold, or may be, where servers warm up like that.
+    /// Whether the server is cold or may be, given how servers of its service warm up.
     pub(crate) fn is_cold(self, warm_up: WarmUp, now: Instant) -> bool {
         if !warm_up.is_enabled() {
             return false;
@@ -141,7 +141,7 @@
     }
 }
 
-/// When requests were sent, within the last second.
+/// Send times of the requests of the last second.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct RecentRequests(VecDeque<Instant>);
 
--- a/src/gateway/condition.rs
+++ b/src/gateway/condition.rs
@@ -1,57 +1,57 @@
-//! What backend servers say of themselves in their answers, and what a daemon keeps of it for one start of a
-//! server.
+//! What backend servers say about themselves in answers, and what a daemon remembers of it for each start of
+//! a server.
 //!
-//! The adapter reads the words of an answer once, where it arrives, into [`Remarks`]. All of them are kept in the
-//! [`Condition`] of that start, for as long as it may serve: longer than the store lists it.
+//! The adapter parses an answer once, on arrival, into [`Remarks`]. They are merged into the [`Condition`] of
+//! that start, which is kept for as long as the server may run: longer than the store lists it.
 
 use crate::gateway::cold::Cold;
 use crate::gateway::limit::{Limit, LimitRemark};
 use std::time::{Duration, Instant};
 
-/// What one answer says of its server.
+/// What one answer says about its server.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Remarks {
-    /// It is about to leave.
+    /// The server is about to leave.
     pub leaving: bool,
-    /// It wants nothing more from this daemon for so long.
+    /// How long this daemon should send it nothing.
     pub backoff: Option<Duration>,
-    /// Requests a second that it takes from all daemons together.
+    /// Its rate limit for all daemons together.
     pub limit: LimitRemark,
-    /// It stays cold for so long.
+    /// How long it stays cold.
     pub cold: Option<Duration>,
 }
 
-/// A time for which a server wants nothing from this daemon. It binds no other daemon.
+/// A time for which a server asked this daemon to send it nothing. Other daemons are not affected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Backoff {
     /// When the server asked for it.
     pub requested_at: Instant,
-    /// When it is over.
+    /// When it ends.
     pub until: Instant,
 }
 
-/// What a server has said of itself, as far as it may still hold.
+/// What a server has said about itself, as far as it may still apply.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Condition {
-    /// Since when it is known to leave by its own word; never taken back.
+    /// Since when it is known to leave; never reset.
     leaving_since: Option<Instant>,
     backoff: Option<Backoff>,
-    /// What it takes from all daemons together, and what this one may send.
+    /// Its rate limit for all daemons together, and this daemon's quota.
     pub(super) limit: Limit,
-    /// Whether it is cold, as far as known.
+    /// What is known about whether it is cold.
     pub(super) cold: Cold,
 }
 
 impl Condition {
-    /// It leaves. Says whether that is new.
+    /// Marks the server as leaving. Returns whether that is new.
     pub(super) fn mark_leaving(&mut self, now: Instant) -> bool {
         let is_new = self.leaving_since.is_none();
         self.leaving_since.get_or_insert(now);
         is_new
     }
 
-    /// It wants nothing for so long, counted from its answer. A rest that ends later still holds: an answer may
-    /// have been longer on its way than the one after it. Says whether the rest is longer by this.
+    /// Backs off for `time` from now. A known backoff that ends later stays in force, since answers may
+    /// arrive out of order. Returns whether the backoff has become longer.
     pub(super) fn extend_backoff(&mut self, time: Duration, now: Instant) -> bool {
         let Some(until) = now.checked_add(time) else {
             return false;
@@ -63,17 +63,17 @@
         is_longer
     }
 
-    /// Whether it has said anything that outlasts the store's entry of it.
+    /// Whether it has said anything that has to outlast its entry in the store.
     pub(super) fn has_lasting_remarks(&self) -> bool {
         self.leaving_since.is_some() || self.backoff.is_some() || self.limit.rate().is_some()
     }
 
-    /// Since when it is known to leave by its own word.
+    /// Since when it is known to leave.
     pub fn leaving_since(&self) -> Option<Instant> {
         self.leaving_since
     }
 
-    /// Its rest, while it lasts.
+    /// The backoff that is in force, if any.
     pub fn backoff(&self, now: Instant) -> Option<Backoff> {
         self.backoff.filter(|backoff| now < backoff.until)
     }
--- a/src/gateway/health_check.rs
+++ b/src/gateway/health_check.rs
@@ -1,10 +1,10 @@
-//! Asking backend servers themselves whether they leave, while the store can't tell.
+//! Asks backend servers directly whether they leave while the store can't tell.
 //!
-//! Notices come through the store. When it is away or slow, each daemon checks the servers on which it
-//! has runs that would be lost. A health check tells of a leaving at once, but not only of that; a report
-//! is sure, but half a second old, a third of the time that a server's notice gives. So a server that is
-//! not well is suspected: its runs move away and no new work goes there until its report says whether it
-//! leaves.
+//! Notices that a server leaves come through the store. While it is unavailable or slow, each daemon checks
+//! the servers on which it has runs that would be lost. A failed health check shows at once that a server may
+//! be leaving, but can have other causes. A report is certain, but half a second old, a third of the time
+//! that a server's notice gives. So a server whose health check fails is suspected: its runs move away and it
+//! gets no new work until its report says whether it leaves.
 
 use crate::gateway::core::Gateway;
 use crate::gateway::servers::HealthCheckTarget;
@@ -14,18 +14,17 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Age of what is known from the store past which servers are asked: longer than it gets between two
-/// reads on an ordinary day.
+/// Age of the data from the store above which servers are asked directly: more than it normally reaches
+/// between two reads.
 const MAX_STORE_AGE: Duration = Duration::from_millis(900);
-/// Time between two rounds of questions, and the longest time for an answer. A server leaves 1.5 s
-/// after its notice.
+/// Interval of checks, and timeout of each. A server leaves 1.5 s after its notice.
 const CHECK_INTERVAL: Duration = Duration::from_millis(300);
-/// Time after which a report that does not tell of a leaving clears a suspected server: reports are
-/// about 500 ms old, and may be a round trip late.
+/// Time after a suspicion from which a report without a notice clears the server: reports are about 500 ms
+/// old, and may be a round trip late.
 const REPORT_SETTLED: Duration = Duration::from_millis(800);
 
-/// Time for which a health check that was wrong is not believed again: its runs would be moved back and
-/// forth at the expense of the shared budget.
+/// How long failed health checks of a server are ignored after one proved wrong: its runs would be moved back
+/// and forth, which uses up the shared budget.
 const SUSPICION_COOLDOWN: Duration = Duration::from_secs(10);
 
 /// Checks servers until the process ends.
@@ -57,31 +56,31 @@
     }
 }
 
-/// Suspects a server that is not well.
+/// Requests a server's health check, and suspects the server if it fails.
 async fn check_health(gateway: &Gateway, server: &HealthCheckTarget, path: &str, now: Instant) {
     match gateway.wire.health(&server.to, path, CHECK_INTERVAL).await {
         Ok(health) => {
             gateway.handle_remarks(server.key, &health.remarks, now);
             if !health.well {
-                info!(server = &*server.to.id; "server is not well, it may leave");
+                info!(server = &*server.to.id; "health check failed, server may be leaving");
                 gateway.servers().suspect(server.key, now);
             }
         }
-        Err(why) => debug!(server = &*server.to.id; "no health: {why}"),
+        Err(why) => debug!(server = &*server.to.id; "no answer to the health check: {why}"),
     }
 }
 
-/// Asks a server for its report, which decides whether it leaves. `sure` says whether a report that does
-/// not tell of a leaving clears a suspected server.
+/// Requests a server's report, which decides whether it leaves. `sure` says whether a report without a notice
+/// clears a suspected server.
 async fn check_report(gateway: &Gateway, server: &HealthCheckTarget, sure: bool, now: Instant) {
     match gateway.wire.report(server.to.addr, CHECK_INTERVAL).await {
         Ok(report) => {
             gateway.handle_remarks(server.key, &report.remarks, now);
             if sure && !report.remarks.leaving {
-                info!(server = &*server.to.id; "server does not leave");
+                info!(server = &*server.to.id; "suspected server is not leaving");
                 gateway.servers().clear_suspicion(server.key, now);
             }
         }
-        Err(why) => debug!(server = &*server.to.id; "no report: {why}"),
+        Err(why) => debug!(server = &*server.to.id; "no answer to the report request: {why}"),
     }
 }
--- a/src/gateway/limit.rs
+++ b/src/gateway/limit.rs
@@ -1,117 +1,120 @@
-//! Servers in need: such a server names, in its answers, the requests a second that it takes from all daemons
-//! together, for as long as it says so.
+//! Rate limits that backend servers name in their answers: the requests a second that a server takes from all
+//! daemons together. A limit holds until an answer names another one or none.
 //!
-//! Daemons tell each other what was said and when, and each sends its part of it: as large a part as its part
-//! of all requests for the service, which heartbeats add up anyway. So no request waits for another daemon's
-//! word, and what is late moves parts by little: the parts of all daemons add up to one whatever each has
-//! heard. Of those that are not heard, as many requests are assumed as of the others; two halves of a fleet that
-//! lose each other share the limit between them.
+//! Daemons report to each other which limit was named and when. Each daemon uses the fraction of the limit
+//! that corresponds to its fraction of all requests for the service, which follows from the sums in
+//! heartbeats. A request therefore never waits for a message from another daemon, and late messages change
+//! the fractions only a little: the fractions of all daemons add up to one whatever each of them has
+//! received. Daemons that can't be reached are assumed to have as many requests as the reachable ones, so the
+//! two halves of a partitioned fleet share the limit.
 //!
-//! A daemon of a small fleet keeps room for a request or two until they come. Where the part of each is less, as many
-//! daemons of a cell hold the room of all as it has whole requests, and give it to those that have none. Where the
-//! room of a cell is less than a request, a daemon may send one in minutes. Its first moment follows from its place among the daemons, so that their moments lie as
-//! evenly as if one daemon had given them out, and a moment that is not used lapses: otherwise an idle fleet would
-//! come with one request from each daemon at once.
+//! In a small fleet, each daemon keeps quota for a request or two until the requests come. Where a daemon's
+//! fraction is less than one request, the quota of its cell is held by as many daemons as it covers whole
+//! requests, and they lend it to the others. Where the quota of a whole cell is less than one request, a
+//! daemon may send one every few minutes. Its first turn follows from its position among the daemons, which
+//! spreads the turns evenly without coordination, and an unused turn expires: otherwise an idle fleet would
+//! send one request from each daemon at once.
 //!
-//! Weighed in simulated fleets of 6 to 294 daemons before a server that takes 2 to 10 requests a second: equal
-//! parts keep the limit as well, and leave more of it unused where requests come to few daemons; counts of what
-//! all have sent lately, as for repeats, let every daemon that has not yet heard of the others use the same
-//! room. The figures are in `docs/design/limits.md`.
+//! Compared in simulated fleets of 6 to 294 daemons before a server that takes 2 to 10 requests a second:
+//! equal fractions keep the limit as well, but leave more of it unused where requests reach only a few
+//! daemons. Counting what all daemons sent lately, as is done for retries, lets every daemon that has no
+//! reports of the others yet use the same quota. The figures are in `docs/design/limits.md`.
 
 use crate::gateway::clock::millis_between;
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 
-/// Time for which room is kept that is to lapse. A daemon to which a request comes each second or so finds its
-/// moment, and a fleet that was idle comes with no more at once than a server names for so long.
+/// How long quota that expires is kept. It is long enough for a daemon that gets about one request a second
+/// to use its turn, and a fleet that was idle sends at most the server's limit for this time at once.
 const QUOTA_LIFETIME: Duration = Duration::from_secs(2);
-/// Time for which a server names as much as daemons that keep their room may send at once, all together. With what
-/// comes free in the next four seconds that is 5.5 s of the limit, of six that the platform bears; the rest is for
-/// parts that differ while words are late.
+/// Burst that all daemons which keep their quota may send together, as time at the server's limit. With the
+/// quota of the next four seconds that is 5.5 s of the limit, of the six that the platform tolerates; the
+/// rest covers fractions that differ between daemons while messages are late.
 const BURST_TIME: Duration = Duration::from_millis(1_500);
-/// Requests that a server bears at once besides: a few come together by chance wherever requests come. Where a
-/// daemon's part of these and of what may come at once is a whole request, it keeps that without end, and gives it
-/// to others that have none.
+/// Requests added to the burst, since a few always arrive together by chance. A daemon whose fraction of the
+/// burst is at least one request keeps its quota without expiry, and lends it to daemons that have none.
 const EXTRA_BURST: f64 = 4.0;
-/// Requests a second that a server gets which names less, or none at all: one in ten seconds from all daemons,
-/// since only an answer tells that the limit is over.
+/// Least requests a second that all daemons together send to a limited server, even if it names less or zero:
+/// one in ten seconds, since only an answer shows that the limit has ended.
 const MIN_RATE: f64 = 0.1;
-/// Time for which others are told that a limit is over: longer than a heartbeat that named it is on its way.
+/// How long peers are told that a limit has ended: longer than a heartbeat with the old limit may be under
+/// way.
 const ENDED_REPORT_TIME: Duration = Duration::from_secs(10);
-/// Part by which a limit has to change for others to hear of it at once rather than with the next heartbeat.
+/// Relative change of a limit from which peers are told at once rather than with the next heartbeat.
 const URGENT_CHANGE: f64 = 0.1;
 
-/// What an answer says of its server's limit.
+/// What an answer says about its server's limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum LimitRemark {
-    /// It names none.
+    /// The server has no limit.
     Unlimited,
     /// Requests a second from all daemons together: zero or more, and finite.
     Rate(f64),
-    /// Nothing, or no such number, which changes nothing.
+    /// The answer says nothing, or its value is invalid; what is known stays as it is.
     #[default]
     Unknown,
 }
 
-/// What a server said of its limit, as daemons tell each other.
+/// The latest limit that a server named, as daemons report it to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct LimitReport {
-    /// Requests a second; `None` where it named no limit any more.
+    /// Requests a second; `None` where the limit has ended.
     pub rate: Option<f64>,
-    /// How long ago, in milliseconds.
+    /// Age of the server's answer, in milliseconds.
     pub age_ms: u32,
 }
 
-/// A daemon's share of what a server in need takes.
+/// A daemon's share of a server's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Share {
-    /// Its part.
+    /// Fraction of the limit that this daemon may use.
     pub fraction: f64,
-    /// How much of the time between two of its requests has passed when the limit is first heard of; evenly
-    /// spread over the daemons.
+    /// Fraction of the time between two of this daemon's requests that counts as passed when the limit
+    /// becomes known; spread evenly over the daemons.
     pub phase: f64,
-    /// What its cell has of it.
+    /// Share of the daemon's cell.
     pub cell: CellShare,
 }
 
-/// What the daemons of a cell have together of what a server in need takes.
+/// Share of a server's limit that the daemons of a cell have together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CellShare {
-    /// Their part.
+    /// Fraction of the limit that the cell may use.
     pub fraction: f64,
-    /// How many they are.
+    /// Number of daemons in the cell.
     pub daemons: usize,
-    /// This daemon's place among them, in an order of the server's own.
+    /// Position of this daemon in the cell, in an order that differs from server to server.
     pub position: usize,
 }
 
-/// What is known of one server's limit, and what this daemon may send there.
+/// The limit of one server as far as known, and this daemon's quota for it.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Limit {
     /// Requests a second; `None` where no limit is in force.
     rate: Option<f64>,
-    /// When the server said so.
+    /// When the server named `rate`, or that it has no limit.
     reported_at: Option<Instant>,
-    /// When the last limit was found to be over.
+    /// When this daemon learnt that the last limit had ended.
     ended: Option<Instant>,
-    /// Requests that this daemon may send, parts of one included; `None` until it first looks.
+    /// Requests that this daemon may send, with fractions; `None` until the first update.
     quota: Option<f64>,
-    /// The moment for which that holds.
+    /// When `quota` was last updated.
     updated: Option<Instant>,
-    /// Whether this daemon keeps whole requests without end, as those of small fleets do.
+    /// Whether quota is kept without expiry, as in small fleets.
     accumulates: bool,
-    /// How many daemons of its cell do; none where room lapses.
+    /// Number of daemons of the cell that keep quota; zero where quota expires.
     holders: usize,
 }
 
-/// Room of which what is over `most` lapses: whole requests, so that the daemons' moments stay spread.
+/// Drops the quota above `most`, in whole requests only, so that the daemons' turns stay spread.
 fn expire_excess(quota: f64, most: f64) -> f64 {
     quota - (quota - most).max(0.0).ceil()
 }
 
-/// How many daemons of a cell hold room where the server bears so many requests at once, and this daemon's part.
-/// Where a part of each is less than a request, as many hold it together as it has whole ones, and the others ask
-/// them; where all of it together is less, each has its own part, and its room lapses.
+/// Returns how many daemons of the cell hold quota for a server that takes a burst of `at_once` requests, and
+/// this daemon's fraction. Where a daemon's own fraction would be less than one request, as many daemons hold
+/// quota as the cell has whole requests, and the others borrow from them. Where the cell has less than one
+/// request, each daemon has its own fraction, which expires.
 fn holders_and_fraction(share: Share, at_once: f64) -> (usize, f64) {
     let cell = share.cell;
     let holders = (cell.fraction * at_once) as usize;
@@ -124,8 +127,8 @@
 }
 
 impl Limit {
-    /// Takes in what the server said at a moment, unless it has said something since. Says whether other
-    /// daemons should hear of it at once.
+    /// Applies what the server said at `said`, unless something newer is known. Returns whether peers should
+    /// be told at once.
     pub fn update(&mut self, rate: Option<f64>, said: Instant, now: Instant) -> bool {
         if self.reported_at.is_some_and(|known| said <= known) {
             return false;
@@ -143,17 +146,17 @@
         }
     }
 
-    /// Requests a second from all daemons together; `None` where no limit is in force.
+    /// The limit in requests a second from all daemons together; `None` where there is none.
     pub fn rate(&self) -> Option<f64> {
         self.rate
     }
 
-    /// The rate at which room grows for all daemons together; zero where no limit is in force.
+    /// Requests a second by which the quota of all daemons together grows; zero where there is no limit.
     pub fn refill_rate(&self) -> f64 {
         self.rate.map_or(0.0, |rate| rate.max(MIN_RATE))
     }
 
-    /// Brings the room up to now.
+    /// Adds the quota that has accrued since the last update.
     pub fn update_quota(&mut self, share: Share, now: Instant) {
         let since = self.updated.replace(now).unwrap_or(now);
         let at_once = self.refill_rate() * BURST_TIME.as_secs_f64() + EXTRA_BURST;
@@ -170,34 +173,33 @@
         });
     }
 
-    /// Requests that this daemon may send as of when that was last brought up to date; `None` where no limit is
-    /// in force.
+    /// Requests that this daemon may send, as of the last update; `None` where there is no limit.
     pub fn quota(&self) -> Option<f64> {
         self.rate.map(|_| self.quota.unwrap_or(0.0))
     }
 
-    /// Whether daemons may give each other room: in a large fleet, what all of them hold for a moment is more than
-    /// the server bears at once, and only that most of it lapses keeps it within.
+    /// Whether daemons may lend each other quota. In a large fleet all daemons together hold more than the
+    /// server takes at once, and it stays within its limit only because most of that quota expires unused.
     pub fn may_lend(&self) -> bool {
         self.accumulates
     }
 
-    /// How many daemons of this one's cell hold room which they give to others; none where room lapses.
+    /// Number of daemons in this cell that hold quota and lend it; zero where quota expires.
     pub fn holders(&self) -> usize {
         self.holders
     }
 
-    /// Notes that a request goes there, whether there was room for it or not.
+    /// Uses quota for one request, also where there is none left.
     pub fn use_one(&mut self) {
         self.quota = self.quota.map(|quota| quota - 1.0);
     }
 
-    /// Notes that a request for which room was taken does not go there.
+    /// Returns the quota of a request that is not sent after all.
     pub fn return_one(&mut self) {
         self.quota = self.quota.map(|quota| quota + 1.0);
     }
 
-    /// What other daemons should hear of it.
+    /// What peers should be told about this limit.
     pub fn for_peers(&self, now: Instant) -> Option<LimitReport> {
         let over = |at: Instant| now.saturating_duration_since(at) < ENDED_REPORT_TIME;
         let matters = self.rate.is_some() || self.ended.is_some_and(over);
--- a/src/gateway/limited.rs
+++ b/src/gateway/limited.rs
@@ -1,5 +1,5 @@
-//! What this daemon hears of servers in need, what it may send them, and what it tells callers for whom there is
-//! no room.
+//! Quota at servers that name a rate limit: admitting requests to them, lending and borrowing between
+//! daemons, and the answer to callers for whom there is no quota.
 
 use crate::gateway::admission::AdmissionClass;
 use crate::gateway::core::{Gateway, LimitedServer};
@@ -13,17 +13,18 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Why a request is refused for which only servers in need could have room.
+/// Reason of a refusal where every server that could take the request is limited and out of quota.
 pub(super) const SERVERS_IN_NEED: &str = "servers_in_need";
 
-/// Whether a server takes one more request of this daemon: it names no limit, or the daemon has room there, which
-/// the request `may_use`.
+/// Whether this daemon may send a server one more request: the server has no limit, or the daemon has quota
+/// left and the request `may_use` it.
 pub(super) fn has_quota(server: &Server, may_use: bool) -> bool {
     server.limit().quota().is_none_or(|quota| may_use && quota >= 1.0)
 }
 
 impl Gateway {
-    /// Room at the servers of a service that are in need and may take a request; `None` where there are none.
+    /// Updates and sums the quota at the limited servers of a service that may take a request; `None` where
+    /// there are no such servers.
     pub(super) fn limited_quota(
         &self,
         servers: &mut Servers,
@@ -31,7 +32,7 @@
         may_take: impl Fn(ServerKey, &Server) -> bool,
         now: Instant,
     ) -> Option<Quota> {
-        // Most often there are none, and nothing more is to be done.
+        // Returns early in the common case that no server is limited.
         servers.limited(service).next()?;
         let mut budget = self.budget();
         let (fraction, cell_fraction) =
@@ -55,7 +56,8 @@
         })
     }
 
-    /// Whether a request of such a standing may use the room at servers in need.
+    /// Whether a request of this class may use quota: newcomers leave what is reserved for callers who come
+    /// back.
     pub(super) fn may_use_quota(
         &self,
         quota: Quota,
@@ -72,7 +74,7 @@
         }
     }
 
-    /// A request takes room at a server in need.
+    /// Ends the reservation of a caller who has come back and now uses quota.
     pub(super) fn fulfill_promise(
         &self,
         service: &Arc<str>,
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Why a request gets no slot where no server has room, and when there is some.
+    /// Builds the refusal of a request for which no server has quota, with the time at which to retry.
     pub(super) fn no_quota(
         &self,
         quota: Quota,
@@ -101,10 +103,11 @@
         NoSlot { reason: SERVERS_IN_NEED, retry_after: back.after, due: back.due }
     }
 
-    /// Asks other daemons for room for a request that would be refused here. Says whether it was given.
+    /// Asks other daemons for quota for a request that would be refused here. Returns whether one lent it.
     ///
-    /// Where few daemons hold the room of all, it is with them that there is some. Where each one does, some have
-    /// room that they don't use only where less comes to all than the servers in need take.
+    /// Where only some daemons of the cell hold quota, it is worth asking them in any case. Where every
+    /// daemon does, quota is left over only while all requests for the service are fewer than the limited
+    /// servers take.
     pub(super) async fn borrow_quota(
         &self,
         service: &Service,
@@ -135,8 +138,8 @@
         given.is_some()
     }
 
-    /// Gives room for one request at one of these servers to a peer, where this daemon has some and has not
-    /// promised it.
+    /// Lends a peer the quota for one request at one of the `wanted` servers. Returns the server; `None`
+    /// where this daemon has no quota, or has reserved it.
     pub(super) fn lend_quota(&self, wanted: &[Tag], now: Instant) -> Option<Tag> {
         let mut servers = self.servers();
         let service = servers.get_by_tag(*wanted.first()?)?.record.service.clone();
@@ -147,7 +150,7 @@
         }
     }
 
-    /// Keeps room for a caller that is told to come back then.
+    /// Reserves quota for a caller that is told to come back at `due`.
     pub(super) fn reserve_quota(&self, service: &Arc<str>, due: Instant) {
         self.promises().entry(service.clone()).or_default().reserve(due);
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! - [`request`], [`fingerprint`]: a caller's request and its answer, and how it is known again
 //! - [`table`], [`in_force`]: the declared configuration, and how fresh it is
-//! - `server`, [`servers`], `reach`, [`outcomes`], [`position`], [`policies`]: backend servers, whether they are
+//! - `server`, [`servers`], `reach`, [`outcomes`], [`place`], [`policies`]: backend servers, whether they are
 //!   reached, how exchanges with them went, and the choice among them
 //! - `halls`, [`cold`], [`regions`]: halls that are closed, servers that bear few requests yet, and the
 //!   regions that requests stay in
--- a/src/gateway/promises.rs
+++ b/src/gateway/promises.rs
@@ -1,51 +1,52 @@
-//! Room at servers in need that is kept for callers who were told to come back.
+//! Quota at limited servers that is reserved for callers who were told to come back.
 //!
-//! Where no other server can take a request, its caller is refused at once and told when there is room for
-//! it. That is true only if the room is then still there, so newcomers leave it. Half of what comes free may be
-//! promised: the callers who come back are served before those who ask for the first time, and of those who
-//! ask for the first time some are still served at once rather than all of them later.
+//! Where no other server can take a request, its caller is refused at once and told when there will be quota
+//! for it. For that to hold, newcomers must leave the reserved quota alone. Only half of the growing quota
+//! may be reserved: callers who come back are served before newcomers, but some newcomers are still served at
+//! once rather than all of them later.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Part of the room that comes free which may be promised.
+/// Fraction of the growing quota that may be reserved.
 const PROMISED_FRACTION: f64 = 0.5;
-/// Part of the time that a caller has left for which it waits at most before it comes back.
+/// Longest wait before a caller comes back, as a fraction of the time that it has left.
 const MAX_WAIT_FRACTION: f64 = 1.0 / 3.0;
-/// Least time after which a caller for whom no room is kept comes back: sooner it would find what it left.
+/// Least time after which a caller without a reservation comes back: nothing would have changed sooner.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// Time for which room is kept for a caller that is late: its way here, and a new connection.
+/// How long a reservation outlasts its due time: covers the network delay and a new connection.
 const ARRIVAL_GRACE: Duration = Duration::from_millis(300);
 
-/// What this daemon may send to the servers in need of one service.
+/// What this daemon may send to the limited servers of one service.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Quota {
-    /// Requests that it may send now, whole ones of each server.
+    /// Requests that it may send now: the sum over servers, each rounded down.
     pub now: f64,
-    /// Requests a second by which that grows.
+    /// Requests a second by which `now` grows.
     pub refill_rate: f64,
-    /// The same for all daemons together.
+    /// Growth for all daemons together, in requests a second.
     pub total_rate: f64,
 }
 
-/// When a caller should come back.
+/// When a refused caller should come back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetryAdvice {
-    /// After so long.
+    /// Time to wait.
     pub after: Duration,
-    /// When room is to be kept for it, once it is told so; `None` where it would not wait.
+    /// When quota should be reserved for it; `None` where the wait would be too long for a reservation.
     pub due: Option<Instant>,
 }
 
-/// Room of one service that was promised.
+/// Reservations for one service.
 #[derive(Debug, Default)]
 pub struct Promises {
-    /// When callers are to come back, in order.
+    /// When callers are to come back, earliest first.
     due: VecDeque<Instant>,
 }
 
 impl Promises {
-    /// Whether a newcomer may use the room: it is not needed for callers who come back before there is more.
+    /// Whether a newcomer may use quota: there is more than is reserved for callers who come back before the
+    /// next request's quota has grown.
     pub fn newcomer_may_use(&mut self, quota: Quota, now: Instant) -> bool {
         self.drop_expired(now);
         let ahead = Duration::try_from_secs_f64(1.0 / quota.refill_rate).unwrap_or(Duration::MAX);
@@ -53,15 +54,15 @@
         quota.now >= 1.0 + self.due.iter().filter(soon).count() as f64
     }
 
-    /// A caller who was refused before has come and takes room.
+    /// Ends the earliest reservation: a caller has come back and uses its quota.
     pub fn fulfill_promise(&mut self, now: Instant) {
         self.drop_expired(now);
         self.due.pop_front();
     }
 
-    /// When a caller that has so much time left should come back. Room is to be kept for it where it would wait
-    /// for that; else it is told when what comes in a second now, `demand`, has been taken by all daemons
-    /// together.
+    /// When a caller that has the time `left` should come back. If it can wait until there is unreserved
+    /// quota, that time is to be reserved. Else it gets no reservation, and comes back once all daemons
+    /// together have had quota for `demand`, the requests that now come in a second.
     pub fn retry_advice(
         &mut self,
         quota: Quota,
@@ -72,7 +73,7 @@
         self.drop_expired(now);
         let wanted = (1.0 + self.due.len() as f64 - quota.now).max(0.0);
         let own = seconds(wanted / (quota.refill_rate * PROMISED_FRACTION));
-        // Each promise comes after the one before it.
+        // Reservations are served in order, so this one is due no earlier than the last.
         let last = self.due.back().map_or(Duration::ZERO, |due| due.saturating_duration_since(now));
         let own = own.max(last);
         match own <= left.mul_f64(MAX_WAIT_FRACTION) {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Keeps room for a caller that was told to come back then.
+    /// Reserves quota for a caller that was told to come back at `due`.
     pub fn reserve(&mut self, due: Instant) {
         let at = self.due.partition_point(|other| *other <= due);
         self.due.insert(at, due);
@@ -101,7 +102,7 @@
     }
 }
 
-/// So many seconds, an hour at most.
+/// Converts seconds to a duration of at most an hour.
 fn seconds(seconds: f64) -> Duration {
     const LONGEST: f64 = 3_600.0;
     Duration::from_secs_f64(if seconds.is_finite() { seconds.clamp(0.0, LONGEST) } else { LONGEST })
--- a/src/gateway/reach.rs
+++ b/src/gateway/reach.rs
@@ -1,33 +1,33 @@
-//! Whether connections to a server come about. One that could not be reached is passed over for a
-//! while: it has most often gone, and where the store is away nothing else tells.
+//! Reachability of backend servers. A server to which no connection could be made is skipped for a while: it
+//! has most likely gone, and while the store is unavailable nothing else shows that.
 
 use std::time::{Duration, Instant};
 
-/// Time for which a server that could not be reached is passed over; it doubles with each further
-/// time. Most such servers have gone, and the store says so within seconds.
+/// How long an unreachable server is skipped; doubled with each further failure. Most such servers have gone,
+/// and the store says so within seconds.
 const SKIP_TIME: Duration = Duration::from_millis(500);
-/// Longest such time: a server that is back after a cut is tried again within it.
+/// Upper bound of the skip time, within which a server that is back after a network failure is tried again.
 const MAX_SKIP_TIME: Duration = Duration::from_secs(4);
 
-/// What is known of one server's reach.
+/// Failed connections to one server and how long it is skipped for them.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Reachability {
-    /// Until when it is passed over.
+    /// Until when it is skipped.
     skip_until: Option<Instant>,
-    /// Times in a row that this daemon did not reach it.
+    /// Consecutive failures of this daemon to connect.
     failures: u32,
-    /// Until when it is known to refuse connections, here or at another daemon: all others would be
+    /// Until when it is known to refuse connections, from this daemon or another: any other daemon would be
     /// refused as well.
     refusing_until: Option<Instant>,
 }
 
 impl Reachability {
-    /// Whether the server is passed over.
+    /// Whether the server is skipped.
     pub(crate) fn is_skipped(&self, now: Instant) -> bool {
         self.skip_until.is_some_and(|until| now < until)
     }
 
-    /// No connection came about; `refused` says whether nothing listens there.
+    /// Notes a failed connection; `refused` says that nothing listens at the address.
     pub(crate) fn connect_failed(&mut self, refused: bool, now: Instant) {
         let doubled = SKIP_TIME.saturating_mul(2u32.saturating_pow(self.failures));
         self.failures += 1;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The server is passed over until then, here or at another daemon, since it refuses connections.
+    /// Skips the server until then, since it refused a connection from this daemon or another.
     pub(crate) fn mark_refusing(&mut self, until: Instant, now: Instant) {
         if until > now {
             self.skip_until = self.skip_until.max(Some(until));
@@ -46,13 +46,13 @@
         }
     }
 
-    /// The server has answered.
+    /// Resets the state after an answer of the server.
     pub(crate) fn answered(&mut self) {
         *self = Reachability::default();
     }
 
-    /// For how long other daemons should pass over the server as well; `None` where only this one may
-    /// have lost it. Passed on from daemon to daemon it does not grow.
+    /// For how long peers should skip the server as well; `None` where the network between it and this daemon
+    /// alone may have failed. The time does not grow as it is passed on from daemon to daemon.
     pub(crate) fn for_peers(&self, now: Instant) -> Option<Duration> {
         let left = self.refusing_until?.saturating_duration_since(now);
         (!left.is_zero()).then_some(left)
--- a/src/gateway/regions.rs
+++ b/src/gateway/regions.rs
@@ -1,4 +1,4 @@
-//! Which hall is in which region, and which of them a request may go to.
+//! The regions of halls, and the halls to which a request may go.
 
 use crate::gateway::table::RegionList;
 use std::collections::HashMap;
@@ -8,29 +8,29 @@
 pub struct Regions(HashMap<String, String>);
 
 impl Regions {
-    /// Halls with their regions.
+    /// Builds the map from halls to regions.
     pub fn new(halls: HashMap<String, String>) -> Regions {
         Regions(halls)
     }
 
-    /// The region of a hall; `None` where it isn't known.
+    /// The region of a hall; `None` where it is unknown.
     pub fn of(&self, hall: &str) -> Option<&str> {
         self.0.get(hall).map(String::as_str)
     }
 }
 
-/// Where one request may go.
+/// The regions to which one request may go.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct AllowedRegions<'a> {
     pub(crate) regions: &'a Regions,
-    /// The regions of its route.
+    /// Regions that its route allows.
     pub(crate) route: &'a RegionList,
-    /// Those of its workspace, if it has one.
+    /// Regions that its workspace allows, if it has one.
     pub(crate) workspace: Option<&'a RegionList>,
 }
 
 impl AllowedRegions<'_> {
-    /// Whether it may go to a hall. One whose region isn't known is in no region.
+    /// Whether the request may go to a hall. A hall of unknown region counts as being in none.
     pub(crate) fn includes(&self, hall: &str) -> bool {
         let region = self.regions.of(hall);
         self.route.allow(region) && self.workspace.is_none_or(|homes| homes.allow(region))
--- a/src/gateway/remarks.rs
+++ b/src/gateway/remarks.rs
@@ -1,4 +1,5 @@
-//! Taking in what servers say of themselves, and telling where requests go all the same.
+//! Applies what servers say about themselves in answers, and logs requests that are sent to such servers all
+//! the same.
 
 use crate::gateway::condition::Remarks;
 use crate::gateway::core::Gateway;
@@ -13,12 +14,13 @@
 use rand::RngExt;
 use std::time::{Duration, Instant};
 
-/// Time within which callers come back who were refused because all servers rest, from the end of the first rest
-/// on. At that moment the server is idle, and would turn most of them away again if they came together.
+/// Time after the end of the first backoff over which callers are spread who were refused because all servers
+/// asked to back off. The server is idle by then, and would refuse most of them again if they came all at
+/// once.
 const AFTER_BACKOFF: Duration = Duration::from_millis(300);
 
 impl Gateway {
-    /// Takes in what an answer to something that was sent at `asked` says of its server.
+    /// Applies what an answer to a request that was sent at `asked` says about its server.
     pub(crate) fn handle_remarks(&self, server: ServerKey, remarks: &Remarks, asked: Instant) {
         let now = time::now();
         let new = self.servers().handle_remarks(server, remarks, asked, now);
@@ -27,12 +29,13 @@
         }
         let id = self.server_id(server).unwrap_or_default();
         if new.leaving {
-            // The store may say so much later, or never, and every daemon sends requests there until it knows.
+            // The store may say so much later, or never, and the other daemons send requests there until they
+            // know.
             info!(server = &*id; "server says that it leaves");
             self.signal_urgent_change();
         }
         if let Some(backoff) = remarks.backoff.filter(|_| new.backs_off) {
-            info!(server = &*id, ms = backoff.as_millis() as u64; "server asks for rest");
+            info!(server = &*id, ms = backoff.as_millis() as u64; "server asks this daemon to back off");
         }
         if new.limit {
             self.metrics.limited_servers.set(self.servers().count_limited() as i64);
@@ -40,14 +43,14 @@
                 LimitRemark::Rate(rate) => {
                     info!(server = &*id, per_second = rate; "server names a limit")
                 }
-                _ => info!(server = &*id; "server names no limit any more"),
+                _ => info!(server = &*id; "server has no limit any more"),
             }
             self.signal_urgent_change();
         }
     }
 
-    /// Why a request gets no slot, with the time at which one of the servers that rest takes requests of this daemon
-    /// again: its caller is not to come back sooner where all rest, nor later where the others have no room.
+    /// Adjusts the retry time of a refusal to the end of the first backoff: the caller should not come back
+    /// sooner if all servers are backing off, nor later if the others have no quota.
     pub(super) fn after_backoff(
         &self,
         why: NoSlot,
@@ -63,7 +66,7 @@
         else {
             return why;
         };
-        // Those who are refused within a rest come back one after the other.
+        // Random, so that callers who were refused during the backoff don't come back together.
         let come_back = left + rand::rng().random_range(Duration::ZERO..AFTER_BACKOFF);
         match all || (why.reason == SERVERS_IN_NEED && come_back < why.retry_after) {
             true => NoSlot { retry_after: come_back, due: None, ..why },
@@ -71,7 +74,7 @@
         }
     }
 
-    /// Writes a line where a request goes to a server that has said something of itself.
+    /// Logs and counts a request that is sent to a server that is limited, leaving or backing off.
     pub(crate) fn log_server_remarks(&self, call: &Call, server: ServerKey, now: Instant) {
         let Some((id, condition)) =
             self.servers().get(server).map(|s| (s.record.id.clone(), s.condition))
@@ -85,11 +88,11 @@
             self.metrics.limited_sendings.inc();
         }
         if let Some(at) = condition.leaving_since() {
-            info!(id = request, server = &*id, told_ms = since(at); "sent to a server that leaves");
+            info!(id = request, server = &*id, told_ms = since(at); "sent to a server that is leaving");
             self.metrics.unheeded_sendings.with_label_values(&["leaving"]).inc();
         }
         if let Some(backoff) = condition.backoff(now) {
-            info!(id = request, server = &*id, told_ms = since(backoff.requested_at); "sent to a server that rests");
+            info!(id = request, server = &*id, told_ms = since(backoff.requested_at); "sent to a server during its backoff");
             self.metrics.unheeded_sendings.with_label_values(&["rest"]).inc();
         }
     }
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -1,4 +1,4 @@
-//! One backend server as this daemon knows it.
+//! The state of one backend server as this daemon knows it.
 
 use crate::gateway::cold::{RecentRequests, WarmUp};
 use crate::gateway::condition::Condition;
@@ -14,60 +14,60 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Exchanges, older ones as parts of one, below which a daemon has nothing to tell of a server.
+/// Decayed count of exchanges below which a server's outcomes are not worth reporting.
 const MIN_REPORTED_ATTEMPTS: f32 = 0.01;
 
 /// What the store says of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ServerRecord {
-    /// Its id. A server that starts again may have it again.
+    /// Its id, which it may have again after a restart.
     pub id: Arc<str>,
-    /// When it started, in milliseconds of the server's own time of day, which tells starts under one id
-    /// apart; `None` where servers don't say.
+    /// When it started, in milliseconds by the server's own clock; distinguishes starts under one id. `None`
+    /// where servers don't report it.
     pub started_ms: Option<u64>,
     /// Its service.
     pub service: Arc<str>,
     /// The version of its software.
     pub version: Arc<str>,
-    /// Where it takes requests.
+    /// Address at which it takes requests.
     pub addr: SocketAddr,
     /// Its hall.
     pub hall: String,
-    /// Requests that it works on at a time.
+    /// Number of requests that it runs at a time.
     pub slots: u32,
     /// Whether it is about to leave.
     pub leaving: bool,
-    /// How long it stays cold, as it said itself.
+    /// How long it stays cold by its own report.
     pub cold: Duration,
 }
 
 impl ServerRecord {
-    /// The tag of this start of the server: what daemons tell each other of an earlier one does not
-    /// reach it.
+    /// The tag of this start of the server. It differs from start to start, so that reports of peers about an
+    /// earlier start don't apply to this one.
     pub(super) fn tag(&self) -> Tag {
         let id = Tag::of(&self.id);
         self.started_ms.map_or(id, |born| id.combined_with(Tag::of_number(born)))
     }
 }
 
-/// What runs at a server.
+/// Work that runs at a server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Load {
-    /// Requests.
+    /// Number of requests.
     pub runs: u32,
-    /// Memory they are expected to need, in tokens.
+    /// Memory that they are expected to need, in tokens.
     pub tokens: u32,
-    /// Tokens of prompts that are still to be read.
+    /// Prompt tokens that are not processed yet.
     pub unread_prompt: u32,
-    /// The part of `tokens` that belongs to runs which may not run again: they have to be moved
-    /// before their server goes.
+    /// Those of `tokens` that belong to runs which must not be repeated, and so have to be moved before their
+    /// server goes away.
     pub non_repeatable: u32,
-    /// Tokens of runs that are being copied to the server, over its link.
+    /// Tokens of runs that are being copied to the server over its link.
     pub incoming_copies: u32,
 }
 
 impl Load {
-    /// A request whose prompt is still to be read.
+    /// The load of one request whose prompt is not processed yet.
     pub fn of(size: Size, repeatable: bool) -> Load {
         let tokens = size.tokens().max(1);
         let once = if repeatable { 0 } else { tokens };
@@ -104,34 +104,34 @@
 /// One backend server.
 #[derive(Debug)]
 pub struct Server {
-    /// What the store says.
+    /// Its entry in the store.
     pub record: ServerRecord,
     /// The tag of its start.
     pub(super) tag: Tag,
-    /// Whether the store's entry of it can be read, so that it names a server to use.
+    /// Whether its entry in the store can be read; no new work is sent to it otherwise.
     pub(super) readable: bool,
-    /// Whether it counts as leaving only because the store no longer lists it.
+    /// Whether it is treated as leaving only because the store no longer lists it.
     pub(super) unlisted: bool,
-    /// Whether it counts as leaving only because a roll-out takes its version out of use.
+    /// Whether it is treated as leaving only because a roll-out retires its version.
     retired: bool,
-    /// What this daemon has there.
+    /// Work that this daemon has there.
     pub own_load: Load,
-    /// What the other daemons said they have there.
+    /// Work that the other daemons reported to have there.
     pub peer_load: Load,
-    /// Turns true when the server is about to leave or has gone.
+    /// True once the server is about to leave, has gone, or is treated so.
     pub(super) leaving: watch::Sender<bool>,
-    /// How this daemon's recent exchanges with it went.
+    /// Outcomes of this daemon's recent exchanges with it.
     pub(super) outcomes: DecayingOutcomes,
-    /// How those of the other daemons went, as they said.
+    /// Outcomes that the other daemons reported.
     pub(super) peer_outcomes: Outcomes,
     pub(super) reach: Reachability,
-    /// Since when it is treated as leaving only because it is not well.
+    /// Since when it is treated as leaving only because its health check failed.
     pub(super) suspected: Option<Instant>,
-    /// When it was last found not to leave although its health check said it was not well.
+    /// When it was last found not to leave although its health check had failed.
     pub(super) cleared: Option<Instant>,
-    /// What it has said of itself.
+    /// What it has said about itself in answers.
     pub(super) condition: Condition,
-    /// What this daemon sent it lately while it was cold.
+    /// Requests that this daemon sent it within the last second while it was cold.
     pub(super) cold_requests: RecentRequests,
 }
 
@@ -165,22 +165,22 @@
         }
     }
 
-    /// Where it is, and which one is meant.
+    /// Its id and address, as the destination of a request.
     pub fn destination(&self) -> Destination {
         Destination { id: self.record.id.clone(), addr: self.record.addr }
     }
 
-    /// Whether new work may go there, as far as the server itself is concerned.
+    /// Whether the server itself takes new work; its hall may be closed all the same.
     pub fn is_open(&self) -> bool {
         self.readable && !*self.leaving.borrow()
     }
 
-    /// Tag of this start of it.
+    /// The tag of this start of the server.
     pub fn tag(&self) -> Tag {
         self.tag
     }
 
-    /// Whether it is cold, or may be, where servers of its service warm up like that.
+    /// Whether it is cold or may be, given how servers of its service warm up.
     pub fn is_cold(&self, warm_up: WarmUp, now: Instant) -> bool {
         self.condition.cold.is_cold(warm_up, now)
     }
@@ -190,51 +190,51 @@
         self.cold_requests.count(now)
     }
 
-    /// What it takes from all daemons together, and what this one may send.
+    /// Its rate limit for all daemons together, and this daemon's quota.
     pub fn limit(&self) -> &Limit {
         &self.condition.limit
     }
 
-    /// Whether it has asked this daemon for rest, and still rests.
+    /// Whether it has asked this daemon to back off, and the time is not over.
     pub fn is_backing_off(&self, now: Instant) -> bool {
         self.condition.backoff(now).is_some()
     }
 
-    /// Tells when the server is about to leave.
+    /// Subscribes to whether the server is leaving.
     pub fn notice(&self) -> watch::Receiver<bool> {
         self.leaving.subscribe()
     }
 
-    /// All that is known to run there.
+    /// Work of all daemons that is known to run there.
     pub fn load(&self) -> Load {
         let mut load = self.own_load;
         load += self.peer_load;
         load
     }
 
-    /// Share of recent exchanges that failed, of all daemons, fading with time.
+    /// Fraction of all daemons' recent exchanges that failed, decayed with time.
     pub fn failure_rate(&self, now: Instant) -> f64 {
         let mut all = self.outcomes.decayed(now);
         all += self.peer_outcomes;
         all.failure_rate()
     }
 
-    /// Whether it is passed over because it could not be reached lately.
+    /// Whether it is skipped because it could not be reached lately.
     pub fn is_skipped(&self, now: Instant) -> bool {
         self.reach.is_skipped(now)
     }
 
-    /// Whether it leaves, and not only may, or takes no work for another reason.
+    /// Whether it is leaving for certain, rather than suspected or retired by a roll-out.
     pub(super) fn is_known_to_leave(&self) -> bool {
         *self.leaving.borrow() && self.suspected.is_none() && !self.retired
     }
 
-    /// Whether it leaves, and other daemons can't know it from the store.
+    /// Whether it is known to leave while its entry in the store doesn't say so.
     pub(super) fn leaving_not_in_store(&self) -> bool {
         self.is_known_to_leave() && !self.record.leaving
     }
 
-    /// A roll-out takes its version out of use, or back into use.
+    /// Applies that a roll-out has retired its version or put it back into use.
     pub(super) fn set_retired(&mut self, retired: bool) {
         if retired && !self.retired && !self.is_known_to_leave() {
             (self.retired, self.suspected) = (true, None);
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Whether this daemon has anything to tell others of it.
+    /// Whether this daemon has anything to report about it to peers.
     pub(super) fn has_unreported(&self, now: Instant) -> bool {
         self.own_load.runs > 0
             || self.outcomes.decayed(now).tried >= MIN_REPORTED_ATTEMPTS
@@ -254,7 +254,7 @@
             || self.condition.limit.for_peers(now).is_some()
     }
 
-    /// It leaves, which is never taken back. Says whether that is new.
+    /// Marks it as leaving for good. Returns whether that is new.
     pub(super) fn mark_leaving(&mut self, now: Instant) -> bool {
         self.suspected = None;
         (self.unlisted, self.retired) = (false, false);
@@ -262,21 +262,21 @@
         self.condition.mark_leaving(now)
     }
 
-    /// The store no longer lists it: it may serve on for a while, or have gone.
+    /// Marks it as no longer listed by the store: it may still serve for a while, or have gone.
     pub(super) fn unlist(&mut self) {
         self.unlisted |= self.suspected.is_some() || self.retired || !*self.leaving.borrow();
         (self.suspected, self.retired) = (None, false);
         self.leaving.send_replace(true);
     }
 
-    /// The store lists it again: its entry had lapsed, and it went on all the while.
+    /// Marks it as listed again: its entry had expired while it kept running.
     pub(super) fn relist(&mut self) {
         if std::mem::take(&mut self.unlisted) {
             self.leaving.send_replace(false);
         }
     }
 
-    /// It was listed before, and what it said of itself then still holds.
+    /// Restores what it said about itself when it was listed before.
     pub(super) fn restore(&mut self, condition: Condition, now: Instant) {
         self.condition = condition;
         self.condition.cold.reported(self.record.cold, now);
@@ -285,7 +285,7 @@
         }
     }
 
-    /// Takes in what the store says of the same start of it.
+    /// Applies a new entry in the store of the same start.
     pub(super) fn update(&mut self, record: ServerRecord, now: Instant) {
         if record.leaving {
             self.mark_leaving(now);
--- a/src/gateway/servers.rs
+++ b/src/gateway/servers.rs
@@ -1,5 +1,5 @@
-//! The backend servers as this daemon knows them: who they are, who leaves, how loaded, how well, which
-//! halls are to get nothing, and which servers are cold.
+//! The backend servers that this daemon knows, with their entries in the store, load, outcomes, limits and
+//! backoffs, which of them are leaving or cold, and which halls are closed.
 
 mod index;
 mod limits;
@@ -25,46 +25,46 @@
 pub use remarks::{Backoffs, NewRemarks};
 
 slotmap::new_key_type! {
-    /// A backend server in this process's arena.
+    /// Key of a backend server in this process's arena.
     pub struct ServerKey;
 }
 
-/// What a daemon has learnt of servers otherwise than from the store, for the other daemons.
+/// What a daemon has learnt about servers from other sources than the store, as it is sent to peers.
 #[derive(Debug, Clone, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Observations {
-    /// Servers that leave, by their own word or because another one answers at their address.
+    /// Servers that are leaving, because they said so or because another server answers at their address.
     pub leaving: Vec<Tag>,
-    /// Servers that refuse connections, and for how many milliseconds they are still passed over.
+    /// Servers that refuse connections, and for how many milliseconds they are still skipped.
     pub refusing: Vec<(Tag, u32)>,
-    /// What servers lately said of the requests a second that they take.
+    /// Rate limits that servers named lately, or that ended lately.
     pub limits: Vec<(Tag, LimitReport)>,
 }
 
-/// Sums of what the other daemons told of servers, and of requests under which servers ended.
+/// Sums of what the other daemons reported on servers, on requests that may end servers, and on roll-outs.
 #[derive(Debug, Default)]
 pub struct PeerStats {
-    /// What all of them have running.
+    /// Work that they have running at each server.
     pub loads: HashMap<Tag, Load>,
-    /// How their exchanges went.
+    /// Outcomes of their exchanges with each server.
     pub outcomes: HashMap<Tag, Outcomes>,
-    /// What became of the servers that ran suspected requests.
+    /// How servers fared that ran suspected requests.
     pub evidence: HashMap<Fingerprint, Evidence>,
-    /// How requests went in roll-outs that are under way.
+    /// Outcomes of requests in roll-outs that are in progress.
     pub rollouts: rollout::Reports,
 }
 
-/// A server that is asked about itself.
+/// A server that is due for a health check or a report.
 #[derive(Debug, Clone)]
 pub struct HealthCheckTarget {
-    /// The server.
+    /// Key of the server.
     pub key: ServerKey,
-    /// Where it is.
+    /// Where to send the request.
     pub to: Destination,
     /// Its service.
     pub service: Arc<str>,
-    /// Since when it is suspected to leave.
+    /// Since when it is suspected of leaving.
     pub suspected: Option<Instant>,
-    /// When its health check was last found to be wrong.
+    /// When it was last found not to leave although its health check had failed.
     pub cleared: Option<Instant>,
 }
 
@@ -74,28 +74,28 @@
     arena: slotmap::SlotMap<ServerKey, Server>,
     by_id: HashMap<Arc<str>, ServerKey>,
     by_tag: HashMap<Tag, ServerKey>,
-    /// The listed ones by service and hall.
+    /// Listed servers by service and hall.
     index: Index,
-    /// Servers of which this daemon may have something to tell: what is told of a fleet's servers costs
-    /// as much as this daemon uses, not as much as there are.
+    /// Servers on which this daemon may have something to report. The cost of a report thus grows with the
+    /// servers that this daemon uses, not with the size of the fleet.
     reportable: HashSet<ServerKey>,
-    /// Servers of which others told something, as of the last time.
+    /// Servers that the latest reports of the other daemons name.
     reported: Vec<ServerKey>,
-    /// Servers that the store no longer lists and that still have runs of this daemon.
+    /// Servers that the store no longer lists, but that still have runs of this daemon.
     unlisted: Vec<ServerKey>,
-    /// Servers that name a limit.
+    /// Servers that have a rate limit.
     limited: HashSet<ServerKey>,
-    /// Servers that have asked this daemon for rest.
+    /// Servers that asked this daemon to back off.
     backing_off: HashSet<ServerKey>,
     past: Past,
     halls: ClosedHalls,
-    /// Servers of each service that get nothing more, by version.
+    /// Versions of each service that a roll-out has retired.
     retired: HashMap<Arc<str>, Retired>,
 }
 
 impl Servers {
-    /// Takes in what the store says of a server. That a start of it leaves is never taken back; another
-    /// start under its id is another server, which has and knows nothing of the one before.
+    /// Applies the store's entry of a server. That a start of a server leaves is never reset. Another start
+    /// under the same id is a new server, which has none of the runs or the state of the one before.
     pub fn upsert(&mut self, record: ServerRecord, now: Instant) {
         let known = self.by_id.get(&record.id).copied();
         match known.filter(|key| self.arena[*key].record.started_ms == record.started_ms) {
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Sets which servers of a service get nothing more, by version; their runs move away, and those that no longer
-    /// are among them take work again. Says whether that has changed.
+    /// Sets which versions of a service are retired. Their servers get no new work and their runs move away;
+    /// servers of versions that are no longer retired take work again. Returns whether anything changed.
     pub fn retire(&mut self, service: &Arc<str>, retired: Option<Retired>) -> bool {
         if self.retired.get(service) == retired.as_ref() {
             return false;
@@ -136,18 +136,19 @@
         server.set_retired(retired.is_some_and(|r| r.includes(&server.record.version)));
     }
 
-    /// Servers of a service that the store lists, whether they take work or not.
+    /// Servers of a service that the store lists, whether or not they take work.
     pub fn listed<'a>(&'a self, service: &'a str) -> impl Iterator<Item = (ServerKey, &'a Server)> {
         let halls = self.index.halls(service);
         halls.flat_map(|(_, keys)| keys.iter().map(|key| (*key, &self.arena[*key])))
     }
 
-    /// How many servers of a service the store lists.
+    /// Number of servers of a service that the store lists.
     pub fn count(&self, service: &str) -> usize {
         self.index.halls(service).map(|(_, keys)| keys.len()).sum()
     }
 
-    /// Servers of a service drawn by chance, so many of `hall` and as many of all others. Some may come twice.
+    /// Draws random servers of a service: `count` in `hall` and `count` in all other halls, fewer where there
+    /// are fewer. A server may be drawn more than once.
     pub fn sample<'a>(
         &'a self,
         service: &'a str,
@@ -159,8 +160,8 @@
         keys.into_iter().map(|key| (key, &self.arena[key])).collect()
     }
 
-    /// Adds a start of a server that is not listed. One that has runs of this daemon and was listed
-    /// before is still known: its entry had lapsed.
+    /// Adds a start of a server that is not listed. One that was listed before and still has runs of this
+    /// daemon is known, and is listed again: its entry had expired.
     fn add(&mut self, record: ServerRecord, now: Instant) {
         let id = record.id.clone();
         let is_it = |server: &Server| {
@@ -180,7 +181,7 @@
         self.update_retired(key);
     }
 
-    /// Inserts a start of a server, with what it said of itself where it was listed before.
+    /// Inserts a start of a server, and restores what it said about itself if it was listed before.
     fn insert_with_past(&mut self, record: ServerRecord, now: Instant) -> ServerKey {
         let mut server = Server::new(record, now);
         let past = self.past.take(server.tag);
@@ -218,7 +219,8 @@
         server.is_some_and(|server| self.by_id.get(&server.record.id) == Some(&key))
     }
 
-    /// Drops servers of which there is nothing to tell any more, and rests that are over.
+    /// Drops backoffs that are over, and servers from the reportable ones on which there is nothing to
+    /// report.
     pub fn prune(&mut self, now: Instant) {
         self.end_backoffs(now);
         let arena = &self.arena;
@@ -226,7 +228,7 @@
             .retain(|key| arena.get(*key).is_some_and(|server| server.has_unreported(now)));
     }
 
-    /// The store no longer lists a server: what runs there goes on, nothing new is sent.
+    /// Handles that the store no longer lists a server: its runs go on, and it gets no new work.
     pub fn remove(&mut self, id: &str) {
         let Some(key) = self.by_id.remove(id) else {
             return;
@@ -239,20 +241,20 @@
         }
     }
 
-    /// The store's entry of a server can't be read: it names no server to use until it can. What runs
-    /// there goes on.
+    /// Marks a server whose entry in the store can't be parsed: it gets no new work until the entry can be
+    /// read. Its runs go on.
     pub fn mark_unreadable(&mut self, id: &str) {
         if let Some(key) = self.by_id.get(id) {
             self.arena[*key].readable = false;
         }
     }
 
-    /// The operators ask that nothing further be sent to a hall.
+    /// Closes a hall on the operators' request: it gets no new work.
     pub fn close_hall(&mut self, hall: &str, now: Instant) {
         self.halls.close(hall, now);
     }
 
-    /// A hall takes work again. Its servers may just have turned cold, and their entries say so late.
+    /// Reopens a hall. Its servers may just have started and be cold, which their entries show only later.
     pub fn open_hall(&mut self, hall: &str, now: Instant) {
         if !self.halls.open(hall) {
             return;
@@ -262,16 +264,16 @@
         }
     }
 
-    /// Whether work that is under way may still be sent to a server: its hall is not closed, or has just
-    /// been closed, and it doesn't rest.
+    /// Whether work in flight may still be sent to a server: its hall is open or has only just been closed,
+    /// and it is not backing off.
     pub fn accepts_in_flight(&self, key: ServerKey, now: Instant) -> bool {
         self.arena.get(key).is_some_and(|server| {
             self.halls.accepts_in_flight(&server.record.hall, now) && !server.is_backing_off(now)
         })
     }
 
-    /// The server is about to leave or has gone, by its own word or because another one answers at
-    /// its address. Says whether that is new.
+    /// Marks a server as leaving or gone, because it said so or because another server answers at its
+    /// address. Returns whether that is new.
     pub fn mark_leaving(&mut self, key: ServerKey, now: Instant) -> bool {
         let Some(server) = self.arena.get_mut(key) else {
             return false;
@@ -280,8 +282,8 @@
         server.mark_leaving(now)
     }
 
-    /// The server is not well, which it is as well when it is about to leave: it is treated as
-    /// leaving until its report says otherwise.
+    /// Suspects a server of leaving after a failed health check, which leaving servers fail as well: it is
+    /// treated as leaving until its report says otherwise.
     pub fn suspect(&mut self, key: ServerKey, now: Instant) {
         if let Some(server) = self.arena.get_mut(key).filter(|s| s.is_open()) {
             server.suspected = Some(now);
@@ -290,7 +292,7 @@
         }
     }
 
-    /// A server that was suspected does not leave.
+    /// Ends the suspicion of a server that turned out not to leave.
     pub fn clear_suspicion(&mut self, key: ServerKey, now: Instant) {
         if let Some(server) = self.arena.get_mut(key).filter(|s| s.suspected.is_some()) {
             server.suspected = None;
@@ -299,7 +301,7 @@
         }
     }
 
-    /// A connection to the server did not come about; `refused` says whether nothing listens there.
+    /// Notes that a connection to a server failed; `refused` says that nothing listens at its address.
     pub fn note_unreachable(&mut self, key: ServerKey, refused: bool, now: Instant) {
         if let Some(server) = self.arena.get_mut(key) {
             server.reach.connect_failed(refused, now);
@@ -308,14 +310,14 @@
         }
     }
 
-    /// Notes that a request goes to a server that is cold.
+    /// Notes that a request is sent to a cold server.
     pub fn note_cold_request(&mut self, key: ServerKey, now: Instant) {
         if let Some(server) = self.arena.get_mut(key) {
             server.cold_requests.record(now);
         }
     }
 
-    /// What other daemons can't know from the store.
+    /// What this daemon has learnt that peers can't know from the store.
     pub fn observations(&self, now: Instant) -> Observations {
         let listed = || self.reportable().filter(|(key, _)| self.is_listed(*key)).map(|(_, s)| s);
         let leaving = listed().filter(|s| s.leaving_not_in_store()).map(|s| s.tag);
@@ -332,8 +334,8 @@
         }
     }
 
-    /// Takes over what another daemon has learnt of servers, told by a message sent at `sent` at the
-    /// earliest. What passes is not taken over where that isn't known.
+    /// Merges what a peer has learnt, from a message that was sent at `sent` or later. Where `sent` is
+    /// unknown, refused connections and limits are ignored, since they can't be dated.
     pub fn merge_observations(
         &mut self,
         observations: &Observations,
@@ -362,7 +364,7 @@
         }
     }
 
-    /// A server that is not known to leave.
+    /// Looks up a server that is not known to leave.
     fn not_known_to_leave(&mut self, tag: Tag) -> Option<(ServerKey, &mut Server)> {
         let (key, server) = get_by_tag_mut(&self.by_tag, &mut self.arena, tag)?;
         (!server.is_known_to_leave()).then_some((key, server))
@@ -372,12 +374,13 @@
         self.reportable.iter().filter_map(|key| Some((*key, self.arena.get(*key)?)))
     }
 
-    /// Servers that take new work and have runs of this daemon that may not run again, and those that
-    /// are suspected; none that rests, which wants no questions either.
+    /// Servers to check: those that take new work and have runs of this daemon that must not be repeated, and
+    /// those that are suspected. Servers that are backing off are left out, since they want no requests of
+    /// any kind.
     pub fn health_check_targets(&self, now: Instant) -> Vec<HealthCheckTarget> {
         let has_runs = |s: &Server| s.is_open() && s.own_load.non_repeatable > 0;
         let matters = |s: &Server| (has_runs(s) || s.suspected.is_some()) && !s.is_backing_off(now);
-        // Where it has runs or a suspicion, a server is noted.
+        // A server that has runs of this daemon or is suspected is always among the reportable ones.
         let watched = self.reportable().filter(|(_, s)| matters(s));
         let watched = watched.map(|(key, s)| HealthCheckTarget {
             key,
@@ -389,12 +392,12 @@
         watched.collect()
     }
 
-    /// Whether there may be any such server soon.
+    /// Whether there may be servers to check soon.
     pub fn may_have_targets(&self) -> bool {
         self.reportable().any(|(_, s)| s.own_load.non_repeatable > 0 || s.suspected.is_some())
     }
 
-    /// A server by key; `None` once it has gone.
+    /// A server by key; `None` once it has been dropped.
     pub fn get(&self, key: ServerKey) -> Option<&Server> {
         self.arena.get(key)
     }
@@ -404,7 +407,7 @@
         self.arena.get(*self.by_tag.get(&tag)?)
     }
 
-    /// A server by the id of its start.
+    /// Key of the listed server with this id.
     pub fn find(&self, id: &str) -> Option<ServerKey> {
         self.by_id.get(id).copied()
     }
@@ -419,13 +422,13 @@
         self.listed(service).filter(move |(_, server)| self.is_open(service, server))
     }
 
-    /// Whether a server is one of a service and takes new work.
+    /// Whether a server belongs to a service and takes new work.
     pub fn is_open(&self, service: &str, server: &Server) -> bool {
         let serves = server.is_open() && *server.record.service == *service;
         serves && !self.halls.is_closed(&server.record.hall)
     }
 
-    /// Notes work that this daemon sends to a server.
+    /// Adds work that this daemon sends to a server.
     pub fn add_load(&mut self, key: ServerKey, load: Load) {
         if let Some(server) = self.arena.get_mut(key) {
             server.own_load += load;
@@ -433,21 +436,21 @@
         }
     }
 
-    /// Notes that a prompt has been read.
+    /// Notes that prompt tokens have been processed.
     pub fn note_prompt_read(&mut self, key: ServerKey, tokens: u32) {
         if let Some(server) = self.arena.get_mut(key) {
             server.own_load.unread_prompt -= tokens;
         }
     }
 
-    /// Notes that a run's memory has been copied there.
+    /// Notes that a run's memory has been copied to the server.
     pub fn note_copy_arrived(&mut self, key: ServerKey, tokens: u32) {
         if let Some(server) = self.arena.get_mut(key) {
             server.own_load.incoming_copies -= tokens;
         }
     }
 
-    /// Notes that such work is over.
+    /// Removes work that has ended. An unlisted server is dropped with its last run.
     pub fn remove_load(&mut self, key: ServerKey, load: Load) {
         let Some(server) = self.arena.get_mut(key) else {
             return;
@@ -462,7 +465,7 @@
         }
     }
 
-    /// Notes how an exchange with a server went.
+    /// Records the outcome of an exchange with a server.
     pub fn record_outcome(&mut self, key: ServerKey, failed: bool, now: Instant) {
         if let Some(server) = self.arena.get_mut(key) {
             server.record_outcome(failed, now);
@@ -470,14 +473,14 @@
         }
     }
 
-    /// This daemon's load, for the others.
+    /// Load that this daemon has at each server, for reports to peers.
     pub fn own_loads(&self) -> Vec<(Tag, Load)> {
         let loaded = self.reportable().filter(|(_, s)| s.own_load.runs > 0);
         loaded.map(|(_, s)| (s.tag, s.own_load)).collect()
     }
 
-    /// How this daemon's exchanges went at servers where some failed, here or at another daemon: a
-    /// failure that others don't see must be weighed against what they do see.
+    /// Outcomes of this daemon's exchanges with servers at which some exchange failed, here or at another
+    /// daemon. Its successes count too, since they have to be weighed against failures that others have seen.
     pub fn own_outcomes(&self, now: Instant) -> Vec<(Tag, Outcomes)> {
         let outcomes = self.reportable().map(|(_, s)| (s, s.outcomes.decayed(now)));
         let matter =
@@ -485,8 +488,8 @@
         matter.map(|(s, own)| (s.tag, own)).collect()
     }
 
-    /// Sets what the other daemons have at each server and how their exchanges went. Servers that are
-    /// not named have nothing of theirs.
+    /// Replaces the load and outcomes that the other daemons reported for each server. Servers that are not
+    /// named are reset to none.
     pub fn set_peer_stats(&mut self, stats: &PeerStats) {
         for key in std::mem::take(&mut self.reported) {
             if let Some(server) = self.arena.get_mut(key) {
--- a/src/gateway/servers/index.rs
+++ b/src/gateway/servers/index.rs
@@ -1,5 +1,5 @@
-//! Listed servers by service and hall, so that what concerns one service costs nothing for the others, and some of many
-//! servers can be drawn without a look at all.
+//! Index of listed servers by service and hall: lookups for one service don't touch the others, and a random
+//! sample doesn't have to visit every server.
 
 use crate::gateway::server::ServerRecord;
 use crate::gateway::servers::ServerKey;
@@ -14,14 +14,14 @@
     keys: Vec<ServerKey>,
 }
 
-/// See the module.
+/// Keys of the listed servers by service and hall.
 #[derive(Debug, Default)]
 pub(super) struct Index {
     services: HashMap<Arc<str>, Vec<HallServers>>,
 }
 
 impl Index {
-    /// Adds a server.
+    /// Adds a server under the service and hall of its record.
     pub(super) fn add(&mut self, record: &ServerRecord, key: ServerKey) {
         let rows = self.services.entry(record.service.clone()).or_default();
         match rows.iter_mut().find(|row| row.hall == record.hall) {
@@ -48,7 +48,8 @@
         rows.map(|row| (row.hall.as_str(), row.keys.as_slice()))
     }
 
-    /// Servers of a service drawn by chance, so many of `hall` and as many of all others. Some may come twice.
+    /// Draws random servers of a service: `count` in `hall` and `count` in all other halls, fewer where there
+    /// are fewer. A server may be drawn more than once.
     pub(super) fn sample(
         &self,
         service: &str,
--- a/src/gateway/servers/limits.rs
+++ b/src/gateway/servers/limits.rs
@@ -1,4 +1,4 @@
-//! What servers say of the requests a second that they take, and what this daemon may send them.
+//! Rate limits that servers name, and this daemon's quota for them.
 
 use super::{ServerKey, Servers, get_by_tag_mut};
 use crate::gateway::clock::minus_millis;
@@ -9,11 +9,11 @@
 use std::time::Instant;
 
 impl Servers {
-    /// Takes in what an answer to a request that was sent at `asked` says of its server's limit. Says whether
-    /// other daemons should hear of it at once.
+    /// Applies what an answer to a request that was sent at `asked` says about its server's limit. Returns
+    /// whether peers should be told at once.
     ///
-    /// That a limit is named counts from now on, and that none is named from when the request was sent: an
-    /// answer that was long on its way does not take back what the server has said since.
+    /// A limit is dated now, while the absence of one is dated when the request was sent: an answer that took
+    /// long must not cancel a limit that the server has named since.
     pub fn update_limit(
         &mut self,
         key: ServerKey,
@@ -33,7 +33,7 @@
         is_new
     }
 
-    /// Notes whether a server names a limit, and that others are to be told of it.
+    /// Updates whether a server counts as limited, and whether peers are to be told of its limit.
     pub(super) fn refresh_limited(&mut self, key: ServerKey, now: Instant) {
         let limit = &self.arena[key].condition.limit;
         if limit.for_peers(now).is_some() {
@@ -45,7 +45,7 @@
         };
     }
 
-    /// Servers of a service that name a limit and take new work.
+    /// Servers of a service that have a rate limit and take new work.
     pub fn limited<'a>(
         &'a self,
         service: &'a str,
@@ -54,7 +54,7 @@
         named.filter(move |(_, server)| self.is_open(service, server))
     }
 
-    /// Brings up to date what this daemon may send to servers in need, by its share of each.
+    /// Updates this daemon's quota at the limited servers of a service, by its share of each limit.
     pub fn update_quotas(&mut self, service: &str, share: impl Fn(Tag) -> Share, now: Instant) {
         let keys: Vec<ServerKey> = self.limited(service).map(|(key, _)| key).collect();
         for key in keys {
@@ -63,21 +63,22 @@
         }
     }
 
-    /// Notes that a request goes to a server, in case it is in need.
+    /// Uses quota for a request that is sent to a server; without effect where the server is not limited.
     pub fn use_quota(&mut self, key: ServerKey) {
         if let Some(server) = self.arena.get_mut(key) {
             server.condition.limit.use_one();
         }
     }
 
-    /// Notes that a request does not go to a server after all.
+    /// Returns the quota of a request that is not sent to a server after all.
     pub fn return_quota(&mut self, key: ServerKey) {
         if let Some(server) = self.arena.get_mut(key) {
             server.condition.limit.return_one();
         }
     }
 
-    /// Gives room for one request at one of these servers to another daemon, where this one has some.
+    /// Lends another daemon quota for one request at the first of the `wanted` servers for which there is
+    /// some.
     pub fn lend(&mut self, wanted: &[Tag]) -> Option<Tag> {
         let has_quota = |key: &ServerKey| {
             let limit = &self.arena[*key].condition.limit;
@@ -89,19 +90,19 @@
         Some(self.arena[key].tag)
     }
 
-    /// Another daemon has given room for one request at a server.
+    /// Adds quota for one request at a server that another daemon has lent.
     pub fn add_borrowed_quota(&mut self, server: Tag) {
         if let Some(key) = self.by_tag.get(&server).copied() {
             self.return_quota(key);
         }
     }
 
-    /// How many servers name a limit.
+    /// Number of servers that have a rate limit.
     pub fn count_limited(&self) -> usize {
         self.limited.len()
     }
 
-    /// Takes over what another daemon heard of limits, told by a message sent at `sent` at the earliest.
+    /// Merges limits that a peer reported in a message that was sent at `sent` or later.
     pub(super) fn merge_limits(
         &mut self,
         limits: &[(Tag, LimitReport)],
@@ -116,7 +117,7 @@
                 continue;
             };
             if server.condition.limit.update(report.rate, said, now) {
-                info!(server = &*server.record.id, per_second = report.rate; "a peer says what a server takes");
+                info!(server = &*server.record.id, per_second = report.rate; "peer reports a server's limit");
             }
             self.refresh_limited(key, now);
         }
--- a/src/gateway/servers/past.rs
+++ b/src/gateway/servers/past.rs
@@ -1,25 +1,27 @@
-//! What servers that the store no longer lists had said of themselves.
+//! What servers that the store no longer lists had said about themselves.
 //!
-//! Entries lapse while a server lives: it could not write for a while, or the store was away. The same start may be
-//! listed again, as ready where it could not write since, and then still leaves, rests and needs what it said.
+//! A server's entry may expire while it still runs, because it could not write for a while or the store was
+//! unavailable. When the same start is listed again, possibly as ready because it could not write since, its
+//! notice that it leaves, its backoff and its limit still apply.
 
 use crate::gateway::condition::Condition;
 use crate::gateway::tag::Tag;
 use std::collections::{HashMap, VecDeque};
 
-/// Starts of which it is kept: more than a fleet's servers, so that all may be replaced while the store is away.
+/// Maximum number of starts kept: more than a fleet has servers, so that all may be replaced while the store
+/// is unavailable.
 const MAX_PAST: usize = 8_192;
 
 /// The conditions of starts that are not listed.
 #[derive(Debug, Default)]
 pub(super) struct Past {
     conditions: HashMap<Tag, Condition>,
-    /// The starts in the order in which they went.
+    /// The starts, in the order in which they were dropped.
     order: VecDeque<Tag>,
 }
 
 impl Past {
-    /// A start is no longer listed.
+    /// Keeps the condition of a start that is dropped, if anything in it has to last.
     pub(super) fn keep(&mut self, start: Tag, condition: Condition) {
         if !condition.has_lasting_remarks() {
             return;
@@ -32,7 +34,7 @@
         }
     }
 
-    /// What a start that is listed again had said.
+    /// Removes and returns the condition of a start that is listed again.
     pub(super) fn take(&mut self, start: Tag) -> Option<Condition> {
         let condition = self.conditions.remove(&start)?;
         self.order.retain(|other| *other != start);
--- a/src/gateway/servers/remarks.rs
+++ b/src/gateway/servers/remarks.rs
@@ -1,4 +1,4 @@
-//! What servers say of themselves in their answers.
+//! Applies what servers say about themselves in their answers, and tracks their backoffs.
 
 use super::{ServerKey, Servers};
 use crate::gateway::condition::Remarks;
@@ -6,23 +6,23 @@
 use log::info;
 use std::time::{Duration, Instant};
 
-/// What of an answer's words was not known before.
+/// Which of an answer's remarks are new.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct NewRemarks {
-    /// That the server leaves.
+    /// The server is leaving.
     pub leaving: bool,
-    /// That it rests, or rests longer.
+    /// A backoff, or a longer one.
     pub backs_off: bool,
-    /// A limit, its end, or another one.
+    /// A limit, a considerably different one, or the end of one.
     pub limit: bool,
 }
 
-/// Servers of a service that rest.
+/// Backoffs of the servers of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Backoffs {
-    /// Time until the first of them has rested; `None` where none rests.
+    /// Time until the first backoff ends; `None` where no server is backing off.
     pub first: Option<Duration>,
-    /// Whether all rest.
+    /// Whether all servers are backing off.
     pub all: bool,
 }
 
@@ -34,7 +34,8 @@
 }
 
 impl Servers {
-    /// Takes in what an answer to something that was sent at `asked` says of its server.
+    /// Applies what an answer to a request that was sent at `asked` says about its server. Returns what is
+    /// new.
     pub fn handle_remarks(
         &mut self,
         key: ServerKey,
@@ -58,30 +59,31 @@
         NewRemarks { leaving, backs_off, limit }
     }
 
-    /// Whether a server has asked this daemon for rest, and still rests.
+    /// Whether a server has asked this daemon to back off, and the time is not over.
     pub fn is_backing_off(&self, key: ServerKey, now: Instant) -> bool {
         self.arena.get(key).is_some_and(|server| server.is_backing_off(now))
     }
 
-    /// How many servers rest, as of the last time at which it was looked.
+    /// Number of servers that are backing off, as of the last call of [`Servers::prune`].
     pub fn count_backing_off(&self) -> usize {
         self.backing_off.len()
     }
 
-    /// Notes which servers' rests are over.
+    /// Drops and logs the backoffs that are over.
     pub(super) fn end_backoffs(&mut self, now: Instant) {
         let arena = &self.arena;
         self.backing_off.retain(|key| {
             let server = arena.get(*key);
             let backing_off = server.is_some_and(|server| server.is_backing_off(now));
             if let Some(server) = server.filter(|_| !backing_off) {
-                info!(server = &*server.record.id; "server's rest is over");
+                info!(server = &*server.record.id; "server's backoff is over");
             }
             backing_off
         });
     }
 
-    /// When the first of a service's servers that `may_serve` will have rested; with `None`, there is no such server.
+    /// Backoffs of the open servers of a service that `may_serve` accepts; `None` where there are no such
+    /// servers.
     pub fn backoffs(
         &self,
         service: &str,
--- a/src/gateway/suspicion.rs
+++ b/src/gateway/suspicion.rs
@@ -1,5 +1,5 @@
-//! Noticing that a server ended under a request, and recording requests that are proved to end servers in
-//! the store, where daemons that start again find them.
+//! Detects servers that end while they run a request, and records requests that are proved to end servers in
+//! the store, for daemons that start later.
 
 use crate::gateway::core::Gateway;
 use crate::gateway::fingerprint::Fingerprint;
@@ -16,29 +16,32 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Longest time for the knock at a server under which a run was lost: some times a round trip. The VM of one
-/// that has ended refuses at once.
+/// Timeout of the connection by which a daemon checks whether a server still listens after losing a run: a
+/// few round trips. The VM of a server that has ended refuses at once.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
-/// Time between two looks for requests that are to be recorded. Heartbeats have told of them by then; the
-/// record is for daemons that start later.
+/// Interval of checks for requests to record. Running daemons learn of them by heartbeats; the record is only
+/// for daemons that start later.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest pause before a record is written: each daemon that saw a server end would write it, and those
-/// that draw longer pauses may find it written. Short, since until then a loss of power forgets the request.
+/// Upper bound of the random delay before a record is written. Every daemon that saw the server end would
+/// write it, and those with longer delays may find it written already. Short, since a power failure before
+/// the write loses the record.
 const MAX_RECORD_DELAY: Duration = Duration::from_millis(300);
-/// The same before one that the store has lost, which all daemons know of.
+/// Upper bound of the random delay before a record that the store has lost is written again; all daemons know
+/// of it.
 const MAX_RESTORE_DELAY: Duration = Duration::from_secs(5);
-/// Pause after a record that was not written, unless the store is known to be away; every call is priced.
+/// Delay before a failed write is tried again, unless the store is known to be unavailable. Every call has a
+/// cost.
 const RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
 impl Gateway {
-    /// Notes that a server survived a run of a request.
+    /// Notes that a server survived a run of this request.
     pub(crate) fn note_survived(&self, call: &Call) {
         self.quarantine().survived(call.fingerprint(), time::now());
     }
 
-    /// A run that had just begun, or had not, was lost at a server: if that server has ended, the request may
-    /// be why. One that was known to leave has ended for that reason. Other daemons hear at once that nothing
-    /// listens there, and of what was seen.
+    /// Handles the loss of a run that had not begun or had just begun: if the server has ended, the request
+    /// may be the cause. A server that was known to leave ended for that reason. Peers are told at once that
+    /// nothing listens at the address, and of the evidence against the request.
     pub(crate) async fn handle_lost_run(&self, call: &Call, slot: &Slot, run: Run) {
         if *slot.notice.borrow()
             || !self.wire.is_gone(slot.place.destination.addr, PROBE_TIMEOUT).await
@@ -50,12 +53,12 @@
         self.quarantine_changed.notify_one();
         self.metrics.ended_servers.inc();
         let name = request.to_string();
-        warn!(id = call.id.as_str(), request = name.as_str(), server = slot.id(), proved = proved; "server ended under a request");
+        warn!(id = call.id.as_str(), request = name.as_str(), server = slot.id(), proved = proved; "server ended while it ran a request");
         slot.record_connect_failure(true);
     }
 }
 
-/// Records what is proved until the process ends.
+/// Records requests that are proved to end servers, until the process ends.
 pub async fn record(
     gateway: Arc<Gateway>,
     store: Arc<dyn Store>,
@@ -88,7 +91,7 @@
     }
 }
 
-/// Writes the record of one request, unless another daemon has.
+/// Writes the record of one request, unless another daemon has written it.
 async fn record_one(
     gateway: Arc<Gateway>,
     store: Arc<dyn Store>,
@@ -103,18 +106,18 @@
         }
         match write(&*store, &key).await {
             Ok(()) => {
-                info!(key = key.as_str(); "request that ends servers is recorded");
+                info!(key = key.as_str(); "recorded a request that ends servers");
                 return;
             }
             Err(e) => {
-                warn!(key = key.as_str(), why = e.to_string().as_str(); "request that ends servers is not recorded");
+                warn!(key = key.as_str(), why = e.to_string().as_str(); "failed to record a request that ends servers");
                 sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Writes a record that lapses by itself.
+/// Writes a record under a lease, so that it expires by itself.
 async fn write(store: &dyn Store, key: &str) -> PlatformResult<()> {
     port::put_leased(store, key, b"{}".to_vec(), MEMORY).await.map(|_| ())
 }
