--- a/src/gateway/quarantine.rs
+++ b/src/gateway/quarantine.rs
@@ -24,28 +24,28 @@
 /// Servers that must have ended under a request, in halves. Two may end under a sound one by chance, both of
 /// one attempt; with three, and the resending that is under way when the third ends, a deadly request takes
 /// three or four. Where each of them shows an event first it takes six: no more than three beyond the third.
-const PROOF: u32 = 6;
+const PROOF_BLAME: u32 = 6;
 /// Servers that must have ended under a request, in halves, for it to explain the ends of such servers as had
 /// shown an event of another one: two, which chance rarely brings. Daemons that have just started hear each
 /// other's first words up to 0.4 s late, so that a daemon may know less of a deadly request than of a sound one
 /// that is under way wherever it comes.
-const SUSPECT: u32 = 4;
+const SUSPECT_BLAME: u32 = 4;
 /// Time after the last server's end for which a request is remembered: the longest lease that the platform's
 /// store gives, so that its record there lapses at about the same time.
 pub const QUARANTINE_TTL: Duration = Duration::from_secs(600);
 /// The same for what was seen of it: it lapses before what it proved does, so that the end of a quarantine is
 /// not taken back by a daemon's last word.
-const SUSPECTED: Duration = Duration::from_secs(540);
+const SUSPICION_TTL: Duration = Duration::from_secs(540);
 /// Time for which a request that was released is not judged: other daemons learn of the release later and
 /// tell meanwhile what they knew.
-const RELEASED: Duration = Duration::from_secs(10);
+const RELEASE_TTL: Duration = Duration::from_secs(10);
 /// Time for which a survivor speaks for a request. A sound one that is under way at three servers which end
 /// together comes some times a second; one that turns deadly ends servers for so much longer.
-const SURVIVED_LATELY: Duration = Duration::from_secs(3);
+const SURVIVAL_TTL: Duration = Duration::from_secs(3);
 /// Requests of which survivors are remembered in such a time, at most; 24 bytes each.
-const MOST_SURVIVORS: usize = 2_048;
+const MAX_SURVIVORS: usize = 2_048;
 /// Suspected requests that are remembered at most. A hall's loss leaves a daemon with some of its young runs.
-const MOST_SUSPECTED: usize = 256;
+const MAX_SUSPICIONS: usize = 256;
 /// Suspected requests that a daemon, or a sum of several, tells at most, those under which most servers ended
 /// first: some 30 bytes each.
 pub(crate) const MAX_REPORTED: usize = 32;
@@ -69,23 +69,23 @@
     /// Of several requests that the same servers would prove, the one with the highest weight is looked at
     /// first: with most blame, and of those with as much the one with the fewest servers, that had come least
     /// far at each.
-    fn weight(&self) -> (u32, Reverse<usize>) {
+    fn precedence(&self) -> (u32, Reverse<usize>) {
         (self.blame(), Reverse(self.ended.len()))
     }
 
     /// Whether it proves that the request ends servers.
     fn is_proof(&self) -> bool {
-        self.blame() >= PROOF && !self.survived
+        self.blame() >= PROOF_BLAME && !self.survived
     }
 
     /// Leaves out servers whose end another request explains: it had come no further there than this one.
-    fn leave_out(&mut self, explained: &Evidence) {
+    fn exclude_explained(&mut self, explained: &Evidence) {
         let counts = |server: &Tag, blame: &u32| explained.ended.get(server) < Some(blame);
         self.ended.retain(|server, blame| counts(server, blame));
     }
 
     /// Leaves out servers that had shown an event of this request, and none of another suspected one.
-    fn leave_out_begun(&mut self, suspect: &Evidence) {
+    fn exclude_begun(&mut self, suspect: &Evidence) {
         let counts = |server: &Tag, blame: &u32| {
             *blame >= RunProgress::NoEvents.blame()
                 || suspect.ended.get(server) < Some(&RunProgress::NoEvents.blame())
@@ -95,7 +95,7 @@
 
     /// Whether it makes the request the likelier cause than one that had shown an event at the same server.
     fn is_suspect(&self) -> bool {
-        self.blame() >= SUSPECT && !self.survived
+        self.blame() >= SUSPECT_BLAME && !self.survived
     }
 
     /// Takes in what another daemon saw.
@@ -141,25 +141,25 @@
 /// When requests were last survived, by spans of time: the present one and the one before it.
 #[derive(Debug, Default)]
 struct Survivors {
-    spans: [HashMap<Fingerprint, Instant>; 2],
+    windows: [HashMap<Fingerprint, Instant>; 2],
     since: Option<Instant>,
 }
 
 impl Survivors {
-    fn note(&mut self, request: Fingerprint, now: Instant) {
+    fn insert(&mut self, request: Fingerprint, now: Instant) {
         let since = *self.since.get_or_insert(now);
-        let full = self.spans[0].len() >= MOST_SURVIVORS;
-        if full || now.saturating_duration_since(since) >= SURVIVED_LATELY {
-            self.spans.swap(0, 1);
-            self.spans[0].clear();
+        let full = self.windows[0].len() >= MAX_SURVIVORS;
+        if full || now.saturating_duration_since(since) >= SURVIVAL_TTL {
+            self.windows.swap(0, 1);
+            self.windows[0].clear();
             self.since = Some(now);
         }
-        self.spans[0].insert(request, now);
+        self.windows[0].insert(request, now);
     }
 
-    fn speaks_for(&self, request: Fingerprint, now: Instant) -> bool {
-        let last = self.spans.iter().filter_map(|span| span.get(&request)).max();
-        last.is_some_and(|at| now.saturating_duration_since(*at) < SURVIVED_LATELY)
+    fn contains_recent(&self, request: Fingerprint, now: Instant) -> bool {
+        let last = self.windows.iter().filter_map(|window| window.get(&request)).max();
+        last.is_some_and(|at| now.saturating_duration_since(*at) < SURVIVAL_TTL)
     }
 }
 
@@ -167,9 +167,9 @@
 #[derive(Debug, Default)]
 pub struct Quarantine {
     survivors: Survivors,
-    own: HashMap<Fingerprint, Suspicion>,
+    suspicions: HashMap<Fingerprint, Suspicion>,
     /// What the other daemons told.
-    others: HashMap<Fingerprint, Evidence>,
+    peer_evidence: HashMap<Fingerprint, Evidence>,
     /// Requests that are kept back, and until when.
     quarantined: HashMap<Fingerprint, Instant>,
     /// Those that the store holds.
@@ -185,8 +185,8 @@
 impl Quarantine {
     /// Notes that a server survived a run of a request: what ended before under it, ended for another reason.
     pub fn record_survived(&mut self, request: Fingerprint, now: Instant) {
-        self.survivors.note(request, now);
-        self.own.remove(&request);
+        self.survivors.insert(request, now);
+        self.suspicions.remove(&request);
         self.quarantined.remove(&request);
     }
 
@@ -196,60 +196,60 @@
         &mut self,
         request: Fingerprint,
         server: Tag,
-        run: RunProgress,
+        progress: RunProgress,
         now: Instant,
     ) -> bool {
         // Beside a survivor it must not count later either, when a service has had no server at all for longer
         // than the survivor speaks.
-        let blame = if self.survivors.speaks_for(request, now) { 0 } else { run.blame() };
-        if self.own.len() >= MOST_SUSPECTED && !self.own.contains_key(&request) {
+        let blame = if self.survivors.contains_recent(request, now) { 0 } else { progress.blame() };
+        if self.suspicions.len() >= MAX_SUSPICIONS && !self.suspicions.contains_key(&request) {
             self.forget_oldest();
         }
         let suspicion = || Suspicion { servers: BTreeMap::new(), last: now };
-        let suspicion = self.own.entry(request).or_insert_with(suspicion);
+        let suspicion = self.suspicions.entry(request).or_insert_with(suspicion);
         suspicion.last = now;
         // More than prove it need not be told.
-        if suspicion.servers.len() < PROOF as usize {
+        if suspicion.servers.len() < PROOF_BLAME as usize {
             suspicion.servers.entry(server).or_insert(blame);
         }
-        self.judge(request, now)
+        self.quarantine_if_proved(request, now)
     }
 
     fn forget_oldest(&mut self) {
-        let oldest = self.own.iter().min_by_key(|(_, suspicion)| suspicion.last);
+        let oldest = self.suspicions.iter().min_by_key(|(_, suspicion)| suspicion.last);
         if let Some(oldest) = oldest.map(|(request, _)| *request) {
-            self.own.remove(&oldest);
+            self.suspicions.remove(&oldest);
         }
     }
 
     /// Takes over what the other daemons told. What was proved once stays so when one of them falls silent,
     /// but not when a server has survived it.
     pub fn set_peer_reports(&mut self, others: &HashMap<Fingerprint, Evidence>, now: Instant) {
-        self.others.clone_from(others);
+        self.peer_evidence.clone_from(others);
         for (request, evidence) in others {
             if evidence.survived {
-                self.own.remove(request);
+                self.suspicions.remove(request);
                 self.quarantined.remove(request);
             }
-            self.judge(*request, now);
+            self.quarantine_if_proved(*request, now);
         }
     }
 
     /// What this daemon saw.
-    fn seen(&self, request: Fingerprint, now: Instant) -> Evidence {
-        let ended = self.own.get(&request).map(|suspicion| suspicion.servers.clone());
-        let survived = self.survivors.speaks_for(request, now);
+    fn own_evidence(&self, request: Fingerprint, now: Instant) -> Evidence {
+        let ended = self.suspicions.get(&request).map(|suspicion| suspicion.servers.clone());
+        let survived = self.survivors.contains_recent(request, now);
         Evidence { ended: ended.unwrap_or_default(), survived }
     }
 
     /// Keeps a request back from now on where that is proved and new.
-    fn judge(&mut self, request: Fingerprint, now: Instant) -> bool {
-        let is_open =
+    fn quarantine_if_proved(&mut self, request: Fingerprint, now: Instant) -> bool {
+        let may_quarantine =
             self.quarantined_for(request, now).is_none() && !self.released.contains_key(&request);
-        let proved = is_open && self.is_proved(request, now);
+        let proved = may_quarantine && self.is_proved(request, now);
         if proved {
             self.quarantined.insert(request, now + QUARANTINE_TTL);
-            if self.own.contains_key(&request) {
+            if self.suspicions.contains_key(&request) {
                 self.unsaved.push(request);
             }
         }
@@ -258,29 +258,30 @@
 
     /// Whether more servers ended under a request than other ones explain.
     fn is_proved(&self, request: Fingerprint, now: Instant) -> bool {
-        let mut left = self.all_seen(request, now);
+        let mut remaining = self.total_evidence(request, now);
         // Rare, so that what follows, which looks at all that is suspected, costs nothing on a sound day.
-        if !left.is_proof() {
+        if !remaining.is_proof() {
             return false;
         }
-        let weight = left.weight();
-        let suspected = self.own.keys().chain(self.others.keys());
+        let precedence = remaining.precedence();
+        let suspected = self.suspicions.keys().chain(self.peer_evidence.keys());
         for other in suspected.filter(|other| **other != request) {
-            let evidence = self.all_seen(*other, now);
-            let first = evidence.weight() > weight || self.quarantined_for(*other, now).is_some();
-            if first && evidence.is_proof() {
-                left.leave_out(&evidence);
+            let evidence = self.total_evidence(*other, now);
+            let takes_precedence =
+                evidence.precedence() > precedence || self.quarantined_for(*other, now).is_some();
+            if takes_precedence && evidence.is_proof() {
+                remaining.exclude_explained(&evidence);
             } else if evidence.is_suspect() {
-                left.leave_out_begun(&evidence);
+                remaining.exclude_begun(&evidence);
             }
         }
-        left.is_proof()
+        remaining.is_proof()
     }
 
     /// What became of the servers that ran a request, as far as any daemon told.
-    fn all_seen(&self, request: Fingerprint, now: Instant) -> Evidence {
-        let mut all = self.seen(request, now);
-        if let Some(others) = self.others.get(&request) {
+    fn total_evidence(&self, request: Fingerprint, now: Instant) -> Evidence {
+        let mut all = self.own_evidence(request, now);
+        if let Some(others) = self.peer_evidence.get(&request) {
             all.merge(others);
         }
         all
@@ -320,8 +321,8 @@
         self.released.insert(request, now);
         self.stored.remove(&request);
         self.quarantined.remove(&request);
-        self.own.remove(&request);
-        self.others.remove(&request);
+        self.suspicions.remove(&request);
+        self.peer_evidence.remove(&request);
     }
 
     /// Whether any is kept back, or is still to be written to the store.
@@ -351,22 +352,25 @@
     /// What this daemon has seen of suspected requests, for the others.
     pub fn for_peers(&mut self, now: Instant) -> Vec<(Fingerprint, Evidence)> {
         let age = |at: Instant| now.saturating_duration_since(at);
-        self.own.retain(|_, suspicion| age(suspicion.last) < SUSPECTED);
-        self.released.retain(|_, at| age(*at) < RELEASED);
+        self.suspicions.retain(|_, suspicion| age(suspicion.last) < SUSPICION_TTL);
+        self.released.retain(|_, at| age(*at) < RELEASE_TTL);
         self.quarantined.retain(|_, until| *until > now);
-        let elsewhere = self.others.keys().filter(|request| !self.own.contains_key(request));
-        let spoken_for = elsewhere.filter(|request| self.survivors.speaks_for(**request, now));
-        let told = self.own.keys().chain(spoken_for);
-        let told = told.map(|request| (*request, self.seen(*request, now)));
-        top_suspects(told.collect())
+        let peer_only =
+            self.peer_evidence.keys().filter(|request| !self.suspicions.contains_key(request));
+        let survived = peer_only.filter(|request| self.survivors.contains_recent(**request, now));
+        let reported = self.suspicions.keys().chain(survived);
+        let reported = reported.map(|request| (*request, self.own_evidence(*request, now)));
+        top_suspects(reported.collect())
     }
 }
 
 /// The requests under which most servers ended, as many as are told.
-pub(crate) fn top_suspects(mut told: Vec<(Fingerprint, Evidence)>) -> Vec<(Fingerprint, Evidence)> {
-    if told.len() > MAX_REPORTED {
-        told.sort_by_key(|(request, evidence)| (Reverse(evidence.blame()), *request));
-        told.truncate(MAX_REPORTED);
+pub(crate) fn top_suspects(
+    mut reported: Vec<(Fingerprint, Evidence)>,
+) -> Vec<(Fingerprint, Evidence)> {
+    if reported.len() > MAX_REPORTED {
+        reported.sort_by_key(|(request, evidence)| (Reverse(evidence.blame()), *request));
+        reported.truncate(MAX_REPORTED);
     }
-    told
+    reported
 }
--- a/src/gateway/rollout.rs
+++ b/src/gateway/rollout.rs
@@ -29,32 +29,32 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tally::Tally;
-use verdict::Test;
+use verdict::SequentialTest;
 
 /// Part of the platform's bound on what a candidate may get that is used.
-const USED_FRACTION: f64 = 0.85;
+const EXPOSURE_FRACTION: f64 = 0.85;
 /// Most of one route's requests that the candidate gets.
-const MOST_OF_ROUTE: f64 = 0.3;
+const MAX_ROUTE_FRACTION: f64 = 0.3;
 /// Time for which requests go to the same canaries.
-const CANARY_TIME: Duration = Duration::from_millis(2_500);
+const CANARY_INTERVAL: Duration = Duration::from_millis(2_500);
 /// Part of a roll-out's time, and its bounds, for the shift of all traffic and of the runs under way.
 const SHIFT_FRACTION: f64 = 0.35;
-const SHORTEST_SHIFT: Duration = Duration::from_millis(3_000);
-const LONGEST_SHIFT: Duration = Duration::from_millis(5_000);
+const MIN_SHIFT_TIME: Duration = Duration::from_millis(3_000);
+const MAX_SHIFT_TIME: Duration = Duration::from_millis(5_000);
 /// Part of the time for the shift in which the candidate's part of the requests grows to all of them.
 const RAMP_FRACTION: f64 = 0.25;
 /// Time before a roll-out's end at which it is decided, whatever is still under way.
-const LAST_MOMENT: Duration = Duration::from_millis(800);
+const DECISION_MARGIN: Duration = Duration::from_millis(800);
 /// Time before its end up to which a candidate may still be found sound.
-const LAST_SHIFT: Duration = Duration::from_millis(2_500);
+const MIN_TIME_FOR_SHIFT: Duration = Duration::from_millis(2_500);
 /// Time after which servers of which none is listed are taken not to be there.
-const SETTLED: Duration = Duration::from_millis(2_000);
+const SETTLE_TIME: Duration = Duration::from_millis(2_000);
 /// Requests at the candidate without which it is not known to be sound, if so many could come.
-const LEAST_TRIED: u32 = 12;
+const MIN_REQUESTS: u32 = 12;
 /// The same for each route.
-const LEAST_TRIED_OF_ROUTE: u32 = 3;
+const MIN_REQUESTS_PER_ROUTE: u32 = 3;
 /// Time after a completed roll-out within which servers of another version are old ones that are about to stop.
-const STOPPING: Duration = Duration::from_secs(30);
+const STOP_PERIOD: Duration = Duration::from_secs(30);
 
 /// What the operators order for a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -124,15 +124,15 @@
     /// Its name among daemons.
     tag: Tag,
     /// When the order was given, as far as known.
-    began: Instant,
+    ordered_at: Instant,
     /// How far the store says it has come, and since when this daemon knows.
     state: Option<(State, Instant)>,
     /// Why this daemon sends nothing to the candidate.
     halt_reason: Option<&'static str>,
-    own: HashMap<(Tag, Arm), Tally>,
-    others: HashMap<(Tag, Arm), Tally>,
-    test: Test,
-    census: VersionCounts,
+    own_tallies: HashMap<(Tag, Arm), Tally>,
+    peer_tallies: HashMap<(Tag, Arm), Tally>,
+    test: SequentialTest,
+    counts: VersionCounts,
     /// Whether servers of the baseline were seen since the order.
     had_baseline: bool,
 }
@@ -143,19 +143,19 @@
             order,
             position,
             tag: tag(service, position),
-            began: now,
+            ordered_at: now,
             state: None,
             halt_reason: None,
-            own: HashMap::new(),
-            others: HashMap::new(),
-            test: Test::default(),
-            census: VersionCounts::default(),
+            own_tallies: HashMap::new(),
+            peer_tallies: HashMap::new(),
+            test: SequentialTest::default(),
+            counts: VersionCounts::default(),
             had_baseline: false,
         }
     }
 
     /// Whether an order is this one, which the operators have written again since the store lost it.
-    fn is_written_again(&self, order: &Order, position: Position) -> bool {
+    fn is_reissue(&self, order: &Order, position: Position) -> bool {
         self.position.era < position.era && self.order == *order
     }
 
@@ -170,30 +170,34 @@
     }
 
     /// Time for the shift of all traffic and of the runs under way.
-    fn shift(&self) -> Duration {
+    fn shift_time(&self) -> Duration {
         let shift = self.order.time_limit.mul_f64(SHIFT_FRACTION);
-        shift.clamp(SHORTEST_SHIFT, LONGEST_SHIFT).min(self.order.time_limit)
+        shift.clamp(MIN_SHIFT_TIME, MAX_SHIFT_TIME).min(self.order.time_limit)
     }
 
     /// Time in which the candidate's part of the requests grows to all of them.
-    fn ramp(&self) -> Duration {
-        self.shift().mul_f64(RAMP_FRACTION)
+    fn ramp_time(&self) -> Duration {
+        self.shift_time().mul_f64(RAMP_FRACTION)
     }
 
     fn age(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.began)
+        now.saturating_duration_since(self.ordered_at)
     }
 
     /// What all daemons counted.
     fn total(&self, route: Tag, arm: Arm) -> Tally {
-        let mut total = self.own.get(&(route, arm)).copied().unwrap_or_default();
-        total += self.others.get(&(route, arm)).copied().unwrap_or_default();
+        let mut total = self.own_tallies.get(&(route, arm)).copied().unwrap_or_default();
+        total += self.peer_tallies.get(&(route, arm)).copied().unwrap_or_default();
         total
     }
 
     fn routes(&self) -> Vec<Tag> {
-        let mut routes: Vec<Tag> =
-            self.own.keys().chain(self.others.keys()).map(|(route, _)| *route).collect();
+        let mut routes: Vec<Tag> = self
+            .own_tallies
+            .keys()
+            .chain(self.peer_tallies.keys())
+            .map(|(route, _)| *route)
+            .collect();
         routes.sort_unstable();
         routes.dedup();
         routes
@@ -206,7 +210,7 @@
 
     /// Part of a route's requests that go to the candidate in its trial: all routes get as many there, as far as
     /// they have them.
-    fn candidate_fraction(&self, route: Tag, bound: f64) -> f64 {
+    fn candidate_fraction(&self, route: Tag, exposure: f64) -> f64 {
         let mut routes = self.routes();
         if !routes.contains(&route) {
             routes.push(route);
@@ -214,62 +218,67 @@
         let all: f64 = routes.iter().map(|route| f64::from(self.requests(*route)) + 1.0).sum();
         let own = f64::from(self.requests(route)) + 1.0;
         let even = all / routes.len() as f64 / own;
-        (bound * USED_FRACTION * even).min(MOST_OF_ROUTE)
+        (exposure * EXPOSURE_FRACTION * even).min(MAX_ROUTE_FRACTION)
     }
 
     /// The candidate's servers that get its requests at present.
-    fn canaries(&self, bound: f64, now: Instant) -> Vec<ServerKey> {
-        let all = &self.census.ready_candidates;
-        let count = (self.census.baseline_count as f64 * bound * USED_FRACTION).ceil() as usize;
+    fn canaries(&self, exposure: f64, now: Instant) -> Vec<ServerKey> {
+        let all = &self.counts.ready_candidates;
+        let count =
+            (self.counts.baseline_count as f64 * exposure * EXPOSURE_FRACTION).ceil() as usize;
         let count = count.clamp(1, all.len().max(1));
-        let turn = (self.age(now).as_millis() / CANARY_TIME.as_millis()) as usize;
-        let from = turn * count;
-        (from..from + count).filter_map(|n| all.get(n % all.len().max(1)).copied()).collect()
+        let round = (self.age(now).as_millis() / CANARY_INTERVAL.as_millis()) as usize;
+        let start = round * count;
+        (start..start + count).filter_map(|n| all.get(n % all.len().max(1)).copied()).collect()
     }
 
     /// Where a request goes, which `drawn` from zero to one tells; `None` where all servers are alike to it.
-    fn pick(&self, drawn: Draw, bound: f64, now: Instant) -> Option<Pick> {
+    fn pick(&self, drawn: Draw, exposure: f64, now: Instant) -> Option<Pick> {
         let state = self.state();
-        let is_alone = self.census.counted && self.census.baseline_count == 0;
-        if state == State::Completed || (is_alone && state != State::Reverted) {
+        let is_only_version = self.counts.counted && self.counts.baseline_count == 0;
+        if state == State::Completed || (is_only_version && state != State::Reverted) {
             return None;
         }
-        let part = match drawn {
-            Draw::First(route, _) => self.candidate_fraction(route, bound),
+        let fraction = match drawn {
+            Draw::First(route, _) => self.candidate_fraction(route, exposure),
             Draw::Retry => 0.0,
         };
-        let part = match self.state {
+        let fraction = match self.state {
             Some((State::Shift, since)) if state == State::Shift => {
-                let ramp = now.saturating_duration_since(since).div_duration_f64(self.ramp());
-                part.max(ramp)
+                let ramp = now.saturating_duration_since(since).div_duration_f64(self.ramp_time());
+                fraction.max(ramp)
             }
-            _ => part,
+            _ => fraction,
         };
         let is_candidate = match drawn {
-            Draw::First(_, drawn) => drawn < part,
-            Draw::Retry => part >= 1.0,
+            Draw::First(_, drawn) => drawn < fraction,
+            Draw::Retry => fraction >= 1.0,
         };
         let version = self.order.version.clone();
-        let baseline = Pick { version, arm: Arm::Baseline, only: Vec::new() };
-        let only = match state {
-            State::Trial if is_candidate => self.canaries(bound, now),
+        let baseline = Pick { version, arm: Arm::Baseline, canaries: Vec::new() };
+        let canaries = match state {
+            State::Trial if is_candidate => self.canaries(exposure, now),
             _ => Vec::new(),
         };
-        let shifts = state == State::Shift && self.census.candidate_count > 0;
-        let to_candidate = is_candidate && (shifts || !only.is_empty());
-        Some(if to_candidate { Pick { arm: Arm::Candidate, only, ..baseline } } else { baseline })
+        let is_shifting = state == State::Shift && self.counts.candidate_count > 0;
+        let goes_to_candidate = is_candidate && (is_shifting || !canaries.is_empty());
+        Some(if goes_to_candidate {
+            Pick { arm: Arm::Candidate, canaries, ..baseline }
+        } else {
+            baseline
+        })
     }
 
     /// Servers that get nothing more.
     fn retired(&self, now: Instant) -> Option<Retired> {
         let version = || self.order.version.clone();
-        let since = self.state.map_or(self.began, |(_, since)| since);
-        let past = now.saturating_duration_since(since);
+        let since = self.state.map_or(self.ordered_at, |(_, since)| since);
+        let elapsed = now.saturating_duration_since(since);
         match self.state() {
             State::Trial => None,
-            State::Shift => (past >= self.ramp() && self.census.candidate_count > 0)
+            State::Shift => (elapsed >= self.ramp_time() && self.counts.candidate_count > 0)
                 .then(|| Retired::Others(version())),
-            State::Completed => (past < STOPPING && self.census.candidate_count > 0)
+            State::Completed => (elapsed < STOP_PERIOD && self.counts.candidate_count > 0)
                 .then(|| Retired::Others(version())),
             State::Reverted => Some(Retired::Version(version())),
         }
@@ -291,22 +300,23 @@
     }
 
     /// Whether the candidate has been tried enough, on each route, and nothing speaks against it.
-    fn is_sound(&self, bound: f64) -> bool {
+    fn is_sound(&self, exposure: f64) -> bool {
         let routes = self.routes();
-        let tried = |route: &Tag| self.total(*route, Arm::Candidate).requests;
-        let expected = |route: &Tag| f64::from(self.requests(*route)) * bound * USED_FRACTION;
-        let is_tried = |route: &Tag| {
-            tried(route) >= LEAST_TRIED_OF_ROUTE
-                || expected(route) < f64::from(2 * LEAST_TRIED_OF_ROUTE)
+        let candidate_requests = |route: &Tag| self.total(*route, Arm::Candidate).requests;
+        let expected =
+            |route: &Tag| f64::from(self.requests(*route)) * exposure * EXPOSURE_FRACTION;
+        let has_enough = |route: &Tag| {
+            candidate_requests(route) >= MIN_REQUESTS_PER_ROUTE
+                || expected(route) < f64::from(2 * MIN_REQUESTS_PER_ROUTE)
         };
-        let all: u32 = routes.iter().map(tried).sum();
-        let most: f64 = routes.iter().map(expected).sum();
-        let enough = all >= LEAST_TRIED || most < f64::from(2 * LEAST_TRIED);
-        enough && routes.iter().all(is_tried) && !self.test.doubts()
+        let all: u32 = routes.iter().map(candidate_requests).sum();
+        let max_requests: f64 = routes.iter().map(expected).sum();
+        let enough = all >= MIN_REQUESTS || max_requests < f64::from(2 * MIN_REQUESTS);
+        enough && routes.iter().all(has_enough) && !self.test.is_doubtful()
     }
 
     /// The step that is due; the same for each daemon that knows as much.
-    fn due(&self, bound: f64, now: Instant) -> Option<Step> {
+    fn due_step(&self, exposure: f64, now: Instant) -> Option<Step> {
         let step = |to, why| Some(Step { to, why });
         let Some((state, since)) = self.state else {
             return step(State::Trial, "ordered");
@@ -315,35 +325,35 @@
             return step(State::Reverted, why);
         }
         let (age, time) = (self.age(now), self.order.time_limit);
-        let ends = age + LAST_MOMENT >= time;
+        let is_near_deadline = age + DECISION_MARGIN >= time;
         match state {
-            State::Trial if self.census.candidate_count == 0 => match self.census.declared {
-                false if age >= SETTLED => step(State::Reverted, "the service is not declared"),
-                _ if ends => step(State::Reverted, "no server of the version came"),
+            State::Trial if self.counts.candidate_count == 0 => match self.counts.declared {
+                false if age >= SETTLE_TIME => step(State::Reverted, "the service is not declared"),
+                _ if is_near_deadline => step(State::Reverted, "no server of the version came"),
                 _ => None,
             },
-            State::Trial if !self.had_baseline && age >= SETTLED => {
+            State::Trial if !self.had_baseline && age >= SETTLE_TIME => {
                 step(State::Completed, "no server has another version")
             }
             State::Trial => {
-                let shift = self.shift();
+                let shift = self.shift_time();
                 if age + shift < time {
                     None
-                } else if self.is_sound(bound) {
+                } else if self.is_sound(exposure) {
                     step(State::Shift, "the version is sound")
-                } else if age + LAST_SHIFT.min(shift) >= time {
+                } else if age + MIN_TIME_FOR_SHIFT.min(shift) >= time {
                     step(State::Reverted, "the version was not shown to be sound in time")
                 } else {
                     None
                 }
             }
             State::Shift => {
-                let moved = now.saturating_duration_since(since) >= 2 * self.ramp();
+                let is_ramped = now.saturating_duration_since(since) >= 2 * self.ramp_time();
                 match () {
-                    () if moved && self.census.baseline_runs == 0 => {
+                    () if is_ramped && self.counts.baseline_runs == 0 => {
                         step(State::Completed, "all runs have ended or moved")
                     }
-                    () if ends => step(State::Completed, "time is over"),
+                    () if is_near_deadline => step(State::Completed, "time is over"),
                     () => None,
                 }
             }
@@ -353,7 +363,7 @@
 }
 
 /// The name of a roll-out among daemons.
-fn tag(service: &str, ordered: Position) -> Tag {
-    let era = Tag::of(service).combined_with(Tag::of_number(ordered.era));
-    era.combined_with(Tag::of_number(ordered.revision))
+fn tag(service: &str, order_position: Position) -> Tag {
+    let era = Tag::of(service).combined_with(Tag::of_number(order_position.era));
+    era.combined_with(Tag::of_number(order_position.revision))
 }
--- a/src/gateway/rollout/controller.rs
+++ b/src/gateway/rollout/controller.rs
@@ -17,14 +17,14 @@
 use tokio::time::sleep;
 
 /// Time between two looks at roll-outs that are under way.
-const LOOK: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// What a daemon waits longer with a step for each one that reads the store before it: the first one's write is heard
 /// of meanwhile.
-const TURN: Duration = Duration::from_millis(400);
+const TURN_DELAY: Duration = Duration::from_millis(400);
 /// Longest such wait.
-const LONGEST_TURN: Duration = Duration::from_millis(1_600);
+const MAX_TURN_DELAY: Duration = Duration::from_millis(1_600);
 /// Pause after a write that failed; every call is priced.
-const AFTER_FAILURE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 impl Gateway {
     /// The roll-outs. Servers are not to be locked while it is held.
@@ -36,7 +36,7 @@
     pub(crate) fn apply_rollout_order(
         &self,
         service: &str,
-        revision: Position,
+        position: Position,
         order: Option<Order>,
         now: Instant,
     ) {
@@ -47,8 +47,8 @@
             }
             None => info!(service = service; "roll-out withdrawn"),
         }
-        self.rollouts().set_order(service, revision, order, now);
-        self.look_at_rollouts(now);
+        self.rollouts().set_order(service, position, order, now);
+        self.update_rollouts(now);
         self.rollout_changed.notify_one();
     }
 
@@ -56,18 +56,18 @@
     pub(crate) fn apply_rollout_record(
         &self,
         service: &str,
-        revision: Position,
+        position: Position,
         record: Record,
         now: Instant,
     ) {
         let (state, why) = (record.state.name(), record.why.clone());
         // The daemon that wrote it reads it once more with its copy of the store.
-        if !self.rollouts().set_record(service, revision, record, now) {
+        if !self.rollouts().set_record(service, position, record, now) {
             return;
         }
         info!(service = service, state = state, why = why.as_str(); "roll-out");
         self.metrics.rollouts.with_label_values(&[state]).inc();
-        self.look_at_rollouts(now);
+        self.update_rollouts(now);
         self.rollout_changed.notify_one();
     }
 
@@ -80,19 +80,19 @@
     ) -> Option<Pick> {
         let rollouts = self.rollouts();
         rollouts
-            .has(service)
+            .contains(service)
             .then(draw)
             .and_then(|draw| rollouts.pick(service, draw, self.exposure(), now))
     }
 
     /// Counts servers by version, and takes those out of use that get nothing more.
-    pub(crate) fn look_at_rollouts(&self, now: Instant) {
+    pub(crate) fn update_rollouts(&self, now: Instant) {
         let versions = self.rollouts().versions();
         for (service, version) in versions {
-            let census = self.census(&service, &version, now);
+            let counts = self.count_servers(&service, &version, now);
             let (retired, halted) = {
                 let mut rollouts = self.rollouts();
-                rollouts.set_counts(&service, census);
+                rollouts.set_counts(&service, counts);
                 (rollouts.retired(&service, now), rollouts.halt_reason(&service))
             };
             if self.servers().retire(&service, retired.clone()) {
@@ -102,41 +102,40 @@
         }
     }
 
-    fn census(&self, service: &str, version: &str, now: Instant) -> VersionCounts {
+    fn count_servers(&self, service: &str, version: &str, now: Instant) -> VersionCounts {
         let declared = self.in_force.get();
         let declared = declared.as_ref().and_then(|d| d.table.service(service));
         let is_cold = |server: &Server| declared.is_some_and(|s| server.is_cold(s.warm_up, now));
-        let mut census = VersionCounts {
+        let mut counts = VersionCounts {
             counted: true,
             declared: declared.is_some(),
             ..VersionCounts::default()
         };
         let servers = self.servers();
-        let mut candidate = Vec::new();
+        let mut ready = Vec::new();
         for (key, server) in servers.listed(service) {
             match *server.record.version == *version {
                 true => {
-                    census.candidate_count += 1;
+                    counts.candidate_count += 1;
                     if server.is_open() && !is_cold(server) {
-                        candidate.push((server.tag(), key));
+                        ready.push((server.tag(), key));
                     }
                 }
                 false => {
-                    census.baseline_count += 1;
-                    census.baseline_runs += server.load().runs;
+                    counts.baseline_count += 1;
+                    counts.baseline_runs += server.load().runs;
                 }
             }
         }
-        candidate.sort_unstable_by_key(|(tag, _)| *tag);
-        census.ready_candidates =
-            candidate.into_iter().map(|(_, key): (_, ServerKey)| key).collect();
-        census
+        ready.sort_unstable_by_key(|(tag, _)| *tag);
+        counts.ready_candidates = ready.into_iter().map(|(_, key): (_, ServerKey)| key).collect();
+        counts
     }
 }
 
 /// A step that is due, and since when.
 #[derive(Debug, Clone, Copy)]
-struct Due {
+struct PendingStep {
     step: Step,
     since: Instant,
 }
@@ -148,9 +147,9 @@
     schema: Arc<dyn Schema>,
     mirror: Arc<Mirror>,
     cluster: Arc<Cluster>,
-    due: HashMap<Arc<str>, Due>,
+    pending: HashMap<Arc<str>, PendingStep>,
     /// Since when records are known to be lost.
-    lost: Option<Instant>,
+    lost_since: Option<Instant>,
 }
 
 impl Controller {
@@ -162,7 +161,15 @@
         mirror: Arc<Mirror>,
         cluster: Arc<Cluster>,
     ) -> Controller {
-        Controller { gateway, store, schema, mirror, cluster, due: HashMap::new(), lost: None }
+        Controller {
+            gateway,
+            store,
+            schema,
+            mirror,
+            cluster,
+            pending: HashMap::new(),
+            lost_since: None,
+        }
     }
 
     /// Takes the steps that are due until the process ends.
@@ -171,55 +178,56 @@
             if !self.gateway.rollouts().is_active(time::now()) {
                 self.gateway.rollout_changed.notified().await;
             }
-            self.look(time::now()).await;
-            sleep(LOOK).await;
+            self.check(time::now()).await;
+            sleep(CHECK_INTERVAL).await;
         }
     }
 
-    async fn look(&mut self, now: Instant) {
+    async fn check(&mut self, now: Instant) {
         self.gateway.merge_peer_stats(now);
         self.gateway.rollouts().evaluate();
-        self.gateway.look_at_rollouts(now);
+        self.gateway.update_rollouts(now);
         self.write_lost(now).await;
         let steps = self.gateway.rollouts().due_steps(self.gateway.exposure(), now);
-        self.due.retain(|service, _| steps.iter().any(|(due, _)| due == service));
+        self.pending.retain(|service, _| steps.iter().any(|(due, _)| due == service));
         for (service, step) in steps {
-            let due = self.due.entry(service.clone()).or_insert(Due { step, since: now });
+            let due =
+                self.pending.entry(service.clone()).or_insert(PendingStep { step, since: now });
             if due.step.to != step.to {
-                *due = Due { step, since: now };
+                *due = PendingStep { step, since: now };
             }
-            let is_turn = now.saturating_duration_since(due.since) >= self.turn(now);
-            if is_turn && !self.mirror.store_is_away() {
-                self.take(&service, step).await;
+            let is_own_turn = now.saturating_duration_since(due.since) >= self.turn_delay(now);
+            if is_own_turn && !self.mirror.store_is_away() {
+                self.take_step(&service, step).await;
             }
         }
     }
 
     /// How long this daemon waits for those that read the store before it.
-    fn turn(&self, now: Instant) -> Duration {
-        let before = u32::try_from(self.cluster.readers_before(now)).unwrap_or(u32::MAX);
-        TURN.saturating_mul(before).min(LONGEST_TURN)
+    fn turn_delay(&self, now: Instant) -> Duration {
+        let earlier = u32::try_from(self.cluster.readers_before(now)).unwrap_or(u32::MAX);
+        TURN_DELAY.saturating_mul(earlier).min(MAX_TURN_DELAY)
     }
 
     /// Writes records again that the store has lost. What was decided is not weighed anew.
     async fn write_lost(&mut self, now: Instant) {
         let lost = self.gateway.rollouts().lost_records();
         if lost.is_empty() {
-            self.lost = None;
+            self.lost_since = None;
             return;
         }
-        let since = *self.lost.get_or_insert(now);
-        let is_turn = now.saturating_duration_since(since) >= self.turn(now);
-        if !is_turn || self.mirror.store_is_away() {
+        let since = *self.lost_since.get_or_insert(now);
+        let is_own_turn = now.saturating_duration_since(since) >= self.turn_delay(now);
+        if !is_own_turn || self.mirror.store_is_away() {
             return;
         }
-        for (service, at, record) in lost {
-            self.write_record(&service, at, record).await;
+        for (service, position, record) in lost {
+            self.write_record(&service, position, record).await;
         }
     }
 
     /// Writes the record that a step leads to, unless another daemon has written one meanwhile.
-    async fn take(&self, service: &Arc<str>, step: Step) {
+    async fn take_step(&self, service: &Arc<str>, step: Step) {
         let Some((replaced, record)) = self.gateway.rollouts().next_record(service, step) else {
             return;
         };
@@ -236,7 +244,7 @@
             Ok(Swap::Lost) => info!(service = &**service; "another daemon records the roll-out"),
             Err(e) => {
                 warn!(service = &**service, state = record.state.name(), why = e.to_string().as_str(); "roll-out's step not recorded");
-                sleep(AFTER_FAILURE).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/src/gateway/rollout/pick.rs
+++ b/src/gateway/rollout/pick.rs
@@ -22,7 +22,7 @@
     /// Where the request goes.
     pub arm: Arm,
     /// Only these; any of the arm where there are none.
-    pub(super) only: Vec<ServerKey>,
+    pub(super) canaries: Vec<ServerKey>,
 }
 
 impl Pick {
@@ -34,12 +34,12 @@
 
     /// Whether a server of the right version is among them.
     pub fn allows(&self, key: ServerKey) -> bool {
-        self.only.is_empty() || self.only.contains(&key)
+        self.canaries.is_empty() || self.canaries.contains(&key)
     }
 
     /// The baseline's servers instead.
     pub fn baseline(self) -> Pick {
-        Pick { arm: Arm::Baseline, only: Vec::new(), ..self }
+        Pick { arm: Arm::Baseline, canaries: Vec::new(), ..self }
     }
 }
 
@@ -57,7 +57,7 @@
     pub fn includes(&self, version: &str) -> bool {
         match self {
             Retired::Version(retired) => **retired == *version,
-            Retired::Others(kept) => **kept != *version,
+            Retired::Others(target) => **target != *version,
         }
     }
 }
--- a/src/gateway/rollout/record.rs
+++ b/src/gateway/rollout/record.rs
@@ -59,17 +59,17 @@
 
 impl Record {
     /// Where the store wrote the order.
-    pub(super) fn ordered(&self) -> Position {
+    pub(super) fn order_position(&self) -> Position {
         Position::new(self.era, self.order)
     }
 }
 
 /// The record of a roll-out, and what the store has of it.
 #[derive(Debug)]
-pub(super) struct Recorded {
+pub(super) struct KnownRecord {
     pub(super) record: Record,
     /// Where the store has its record; the start where it has none.
-    pub(super) at: Position,
+    pub(super) position: Position,
     /// Whether that is this record, and not an older one or none.
     pub(super) stored: bool,
 }
--- a/src/gateway/rollout/rollouts.rs
+++ b/src/gateway/rollout/rollouts.rs
@@ -1,8 +1,8 @@
 //! All roll-outs of a daemon, by service, and what the store has of them.
 
-use super::record::Recorded;
+use super::record::KnownRecord;
 use super::{
-    Arm, Draw, Order, Pick, Record, Reports, Retired, Rollout, STOPPING, State, Step, Stratum,
+    Arm, Draw, Order, Pick, Record, Reports, Retired, Rollout, STOP_PERIOD, State, Step, Stratum,
     VersionCounts, tag,
 };
 use crate::gateway::clock::{millis_between, minus_millis};
@@ -16,7 +16,7 @@
 #[derive(Debug, Default)]
 pub struct Rollouts {
     by_service: HashMap<Arc<str>, Rollout>,
-    records: HashMap<Arc<str>, Recorded>,
+    records: HashMap<Arc<str>, KnownRecord>,
 }
 
 impl Rollouts {
@@ -31,7 +31,7 @@
         match order {
             Some(order) => {
                 let known = self.by_service.get(service);
-                if known.is_some_and(|known| known.is_written_again(&order, position)) {
+                if known.is_some_and(|known| known.is_reissue(&order, position)) {
                     return;
                 }
                 let rollout = Rollout::new(service, position, order, now);
@@ -55,43 +55,51 @@
         now: Instant,
     ) -> bool {
         let known = self.records.get(service);
-        if known.is_some_and(|known| known.at >= position) {
+        if known.is_some_and(|known| known.position >= position) {
             return false;
         }
         let is_new = known.is_none_or(|known| known.record != record);
-        let recorded = Recorded { record, at: position, stored: true };
-        self.records.insert(service.into(), recorded);
+        let known = KnownRecord { record, position, stored: true };
+        self.records.insert(service.into(), known);
         self.apply_record(service, now);
         is_new
     }
 
     /// The store has lost the record of a roll-out, which is to be written again; it has an older one there, or none
     /// where that is the start.
-    pub fn set_lost_record(&mut self, service: &str, record: Record, at: Position, now: Instant) {
-        self.records.insert(service.into(), Recorded { record, at, stored: false });
+    pub fn set_lost_record(
+        &mut self,
+        service: &str,
+        record: Record,
+        position: Position,
+        now: Instant,
+    ) {
+        self.records.insert(service.into(), KnownRecord { record, position, stored: false });
         self.apply_record(service, now);
     }
 
     /// Records that the store has lost, each with the position of what it has there.
     pub fn lost_records(&self) -> Vec<(Arc<str>, Position, Record)> {
-        let lost = self.records.iter().filter(|(_, recorded)| !recorded.stored);
-        lost.map(|(service, r)| (service.clone(), r.at, r.record.clone())).collect()
+        let lost = self.records.iter().filter(|(_, known)| !known.stored);
+        lost.map(|(service, r)| (service.clone(), r.position, r.record.clone())).collect()
     }
 
     fn apply_record(&mut self, service: &str, now: Instant) {
-        let (Some(rollout), Some(Recorded { record, .. })) =
+        let (Some(rollout), Some(KnownRecord { record, .. })) =
             (self.by_service.get_mut(service), self.records.get(service))
         else {
             return;
         };
-        let ordered = record.ordered();
+        let order_position = record.order_position();
         // An order of an earlier era that the operators have written again, as a daemon that started since knows it.
-        if ordered.era < rollout.position.era && *record.version == *rollout.order.version {
-            rollout.position = ordered;
-            rollout.tag = tag(service, ordered);
+        if order_position.era < rollout.position.era && *record.version == *rollout.order.version {
+            rollout.position = order_position;
+            rollout.tag = tag(service, order_position);
         }
         let known = rollout.state.map(|(state, _)| state);
-        if ordered == rollout.position && known.is_none_or(|known| known.may_become(record.state)) {
+        if order_position == rollout.position
+            && known.is_none_or(|known| known.may_become(record.state))
+        {
             rollout.state = Some((record.state, now));
         }
     }
@@ -99,7 +107,7 @@
     /// The record that a step leads to, and the position of the one that it replaces; the start where there is none.
     pub fn next_record(&self, service: &str, step: Step) -> Option<(Position, Record)> {
         let rollout = self.by_service.get(service)?;
-        let replaced = self.records.get(service).map_or(Position::START, |recorded| recorded.at);
+        let replaced = self.records.get(service).map_or(Position::START, |known| known.position);
         let Position { era, revision } = rollout.position;
         let version = rollout.order.version.to_string();
         let record = Record { order: revision, era, version, state: step.to, why: step.why.into() };
@@ -108,22 +116,22 @@
 
     /// Whether any roll-out is under way, or its old servers are about to stop.
     pub fn is_active(&self, now: Instant) -> bool {
-        let stops = |rollout: &Rollout| match rollout.state {
-            Some((State::Completed, since)) => now.saturating_duration_since(since) < STOPPING,
+        let is_stopping = |rollout: &Rollout| match rollout.state {
+            Some((State::Completed, since)) => now.saturating_duration_since(since) < STOP_PERIOD,
             _ => false,
         };
-        let lost = self.records.values().any(|recorded| !recorded.stored);
-        lost || self.live().next().is_some() || self.by_service.values().any(stops)
+        let lost = self.records.values().any(|known| !known.stored);
+        lost || self.active().next().is_some() || self.by_service.values().any(is_stopping)
     }
 
-    fn live(&self) -> impl Iterator<Item = (&Arc<str>, &Rollout)> {
+    fn active(&self) -> impl Iterator<Item = (&Arc<str>, &Rollout)> {
         self.by_service
             .iter()
             .filter(|(_, rollout)| rollout.state.is_none_or(|(state, _)| !state.is_final()))
     }
 
     /// Whether a service has a roll-out.
-    pub fn has(&self, service: &str) -> bool {
+    pub fn contains(&self, service: &str) -> bool {
         self.by_service.contains_key(service)
     }
 
@@ -139,8 +147,8 @@
     }
 
     /// Where a request goes; `None` where all servers of its service are alike to it.
-    pub fn pick(&self, service: &str, draw: Draw, bound: f64, now: Instant) -> Option<Pick> {
-        self.by_service.get(service)?.pick(draw, bound, now)
+    pub fn pick(&self, service: &str, draw: Draw, exposure: f64, now: Instant) -> Option<Pick> {
+        self.by_service.get(service)?.pick(draw, exposure, now)
     }
 
     /// Under which heading a request at a server of such a version counts; `None` where that tells nothing.
@@ -158,31 +166,34 @@
     pub fn record_outcome(&mut self, stratum: Stratum, time: Option<Duration>) {
         let rollout = self.by_service.values_mut().find(|r| r.tag == stratum.rollout);
         if let Some(rollout) = rollout {
-            rollout.own.entry((stratum.route, stratum.arm)).or_default().note(time);
+            rollout.own_tallies.entry((stratum.route, stratum.arm)).or_default().record(time);
         }
     }
 
     /// What this daemon tells others: how its requests went, and how old orders are.
     pub fn for_peers(&self, now: Instant) -> Reports {
         let mut reports = Reports::default();
-        for (_, rollout) in self.live() {
-            reports.order_ages_ms.insert(rollout.tag, millis_between(rollout.began, now));
+        for (_, rollout) in self.active() {
+            reports.order_ages_ms.insert(rollout.tag, millis_between(rollout.ordered_at, now));
             let stratum = |(route, arm)| Stratum { rollout: rollout.tag, route, arm };
-            let own = rollout.own.iter().map(|(key, tally)| (stratum(*key), *tally));
+            let own = rollout.own_tallies.iter().map(|(key, tally)| (stratum(*key), *tally));
             reports.tallies.extend(own);
         }
         reports
     }
 
     /// Takes over what the other daemons told.
-    pub fn set_peer_reports(&mut self, heard: &Reports, now: Instant) {
+    pub fn set_peer_reports(&mut self, reports: &Reports, now: Instant) {
         for rollout in self.by_service.values_mut() {
-            rollout.others.clear();
-            let its = heard.tallies.iter().filter(|(stratum, _)| stratum.rollout == rollout.tag);
-            rollout.others.extend(its.map(|(s, tally)| ((s.route, s.arm), *tally)));
+            rollout.peer_tallies.clear();
+            let tallies =
+                reports.tallies.iter().filter(|(stratum, _)| stratum.rollout == rollout.tag);
+            rollout.peer_tallies.extend(tallies.map(|(s, tally)| ((s.route, s.arm), *tally)));
             // An order is as old as any daemon knows it to be.
-            let age = heard.order_ages_ms.get(&rollout.tag).and_then(|age| minus_millis(now, *age));
-            rollout.began = age.map_or(rollout.began, |began| began.min(rollout.began));
+            let age =
+                reports.order_ages_ms.get(&rollout.tag).and_then(|age| minus_millis(now, *age));
+            rollout.ordered_at =
+                age.map_or(rollout.ordered_at, |ordered_at| ordered_at.min(rollout.ordered_at));
         }
     }
 
@@ -193,17 +204,17 @@
     }
 
     /// Takes in which servers a service with a roll-out has.
-    pub fn set_counts(&mut self, service: &str, census: VersionCounts) {
+    pub fn set_counts(&mut self, service: &str, counts: VersionCounts) {
         if let Some(rollout) = self.by_service.get_mut(service) {
-            rollout.had_baseline |= census.baseline_count > 0;
-            rollout.census = census;
+            rollout.had_baseline |= counts.baseline_count > 0;
+            rollout.counts = counts;
         }
     }
 
     /// The steps that are due.
-    pub fn due_steps(&self, bound: f64, now: Instant) -> Vec<(Arc<str>, Step)> {
-        let due = self.live();
-        due.filter_map(|(service, r)| Some((service.clone(), r.due(bound, now)?))).collect()
+    pub fn due_steps(&self, exposure: f64, now: Instant) -> Vec<(Arc<str>, Step)> {
+        let due = self.active();
+        due.filter_map(|(service, r)| Some((service.clone(), r.due_step(exposure, now)?))).collect()
     }
 
     /// Servers of a service that get nothing more.
--- a/src/gateway/rollout/tally.rs
+++ b/src/gateway/rollout/tally.rs
@@ -7,11 +7,11 @@
 /// Buckets of a histogram of times; each bound is the square root of two times the one before.
 const BUCKETS: usize = 24;
 /// Upper bound of the first bucket, in milliseconds. The last bucket begins at 5.8 s.
-const FIRST_BOUND_MS: f64 = 2.0;
+const FIRST_BUCKET_MS: f64 = 2.0;
 /// Requests after which those before them count for a third.
 const WINDOW: f64 = 30.0;
 /// Buckets that double a time.
-const DOUBLED: usize = 2;
+const BUCKETS_PER_DOUBLING: usize = 2;
 
 /// Requests of one route at the servers of one version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -36,14 +36,14 @@
 
 /// The bucket of a time.
 fn bucket(time: Duration) -> usize {
-    let ratio = time.as_secs_f64() * 1_000.0 / FIRST_BOUND_MS;
+    let ratio = time.as_secs_f64() * 1_000.0 / FIRST_BUCKET_MS;
     // Not negative, and clipped.
-    ((ratio.max(1.0).log2() * DOUBLED as f64).ceil() as usize).min(BUCKETS - 1)
+    ((ratio.max(1.0).log2() * BUCKETS_PER_DOUBLING as f64).ceil() as usize).min(BUCKETS - 1)
 }
 
 impl Tally {
     /// Notes an answer, or with `None` a failure.
-    pub fn note(&mut self, time: Option<Duration>) {
+    pub fn record(&mut self, time: Option<Duration>) {
         self.requests += 1;
         match time {
             Some(time) => self.times[bucket(time)] += 1,
@@ -59,8 +59,8 @@
     /// What has come since an earlier tally.
     pub fn since(&self, earlier: &Tally) -> Tally {
         let mut times = self.times;
-        for (count, known) in times.iter_mut().zip(earlier.times) {
-            *count = count.saturating_sub(known);
+        for (count, before) in times.iter_mut().zip(earlier.times) {
+            *count = count.saturating_sub(before);
         }
         Tally {
             requests: self.requests.saturating_sub(earlier.requests),
@@ -70,19 +70,19 @@
     }
 
     /// Answers that took longer than a time that [`Recent::slow`] gave.
-    pub fn slower(&self, than: Slow) -> u32 {
-        self.times.iter().skip(than.0 + 1).sum()
+    pub fn count_slower(&self, bound: SlowBound) -> u32 {
+        self.times.iter().skip(bound.0 + 1).sum()
     }
 }
 
 /// A bound on times.
 #[derive(Debug, Clone, Copy)]
-pub struct Slow(usize);
+pub struct SlowBound(usize);
 
 /// How requests went lately; each new one makes those before it count a little less.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Recent {
-    tried: f64,
+    requests: f64,
     failed: f64,
     times: [f64; BUCKETS],
 }
@@ -90,12 +90,12 @@
 impl Recent {
     /// Adds requests.
     pub fn add(&mut self, more: &Tally) {
-        let kept = (1.0 - f64::from(more.requests) / WINDOW).max(0.0);
-        let add = |known: &mut f64, more: u32| *known = *known * kept + f64::from(more);
-        add(&mut self.tried, more.requests);
+        let decay = (1.0 - f64::from(more.requests) / WINDOW).max(0.0);
+        let add = |total: &mut f64, more: u32| *total = *total * decay + f64::from(more);
+        add(&mut self.requests, more.requests);
         add(&mut self.failed, more.failed);
-        for (known, more) in self.times.iter_mut().zip(more.times) {
-            add(known, more);
+        for (total, more) in self.times.iter_mut().zip(more.times) {
+            add(total, more);
         }
     }
 
@@ -105,18 +105,18 @@
     }
 
     /// The rate of failures, with `assumed` requests besides of which one failed.
-    pub fn failing(&self, assumed: f64) -> f64 {
-        (self.failed + 1.0) / (self.tried + assumed)
+    pub fn failure_rate(&self, prior_requests: f64) -> f64 {
+        (self.failed + 1.0) / (self.requests + prior_requests)
     }
 
     /// Half as long again as all but a `part` of the answers take.
-    pub fn slow(&self, part: f64) -> Slow {
+    pub fn slow_bound(&self, fraction: f64) -> SlowBound {
         let mut above = self.answered();
-        let most = above * part;
+        let most = above * fraction;
         let bound = self.times.iter().position(|count| {
             above -= count;
             above <= most
         });
-        Slow(bound.unwrap_or(BUCKETS - 1) + 1)
+        SlowBound(bound.unwrap_or(BUCKETS - 1) + 1)
     }
 }
--- a/tests/rollouts.rs
+++ b/tests/rollouts.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tidestair::gateway::rollout::tally::Tally;
-use tidestair::gateway::rollout::verdict::{Fault, Test};
+use tidestair::gateway::rollout::verdict::{Fault, SequentialTest};
 use tidestair::gateway::rollout::{
     Arm, Draw, Order, Record, Reports, Retired, Rollouts, State, Step, VersionCounts,
 };
@@ -275,21 +275,21 @@
 
 #[test]
 fn a_few_late_answers_of_a_full_canary_prove_nothing() {
-    let (mut rng, mut test) = (StdRng::seed_from_u64(5), Test::default());
+    let (mut rng, mut test) = (StdRng::seed_from_u64(5), SequentialTest::default());
     let (mut baseline, mut candidate) = (Tally::default(), Tally::default());
     let route = Tag::of("round");
     for n in 0..400 {
-        baseline.note(Some(usual(400.0, &mut rng)));
+        baseline.record(Some(usual(400.0, &mut rng)));
         if n % 10 == 0 {
             // Half as long again as the old servers' answers.
-            candidate.note(Some(usual(600.0, &mut rng)));
+            candidate.record(Some(usual(600.0, &mut rng)));
         }
         assert_eq!(test.evaluate(route, &baseline, &candidate), None);
     }
     let found = (0..250).find_map(|n| {
-        baseline.note(Some(usual(400.0, &mut rng)));
+        baseline.record(Some(usual(400.0, &mut rng)));
         if n % 10 == 0 {
-            candidate.note(Some(usual(1_600.0, &mut rng)));
+            candidate.record(Some(usual(1_600.0, &mut rng)));
         }
         test.evaluate(route, &baseline, &candidate)
     });
