--- a/src/gateway/quarantine.rs
+++ b/src/gateway/quarantine.rs
@@ -1,18 +1,17 @@
-//! Requests that end the servers which run them, and are kept from further ones.
+//! Quarantine for requests that crash the servers which run them.
 //!
-//! A caller that lost its answer sends the request again, by way of any daemon, and each attempt goes to as
-//! many servers as its route allows. One deadly request so ends servers as fast as they start: two for each
-//! attempt, and with each of them whatever else ran there. It is known by its [`Fingerprint`], over all
-//! attempts and daemons. Daemons add up what they have seen in their heartbeats, which takes a fraction of a
-//! second; what is proved is kept in the store as well, since daemons forget what they saw when they start
-//! again.
+//! A caller that lost its response sends the request again, through any daemon, and each attempt tries as
+//! many servers as its route allows. One deadly request thus crashes servers as fast as they start: two for
+//! each attempt, along with everything else that runs there. A request is identified by its [`Fingerprint`],
+//! across attempts and daemons. Daemons add up their evidence through heartbeats, which takes a fraction of a
+//! second. Proved requests are also written to the store, since a daemon that restarts forgets its evidence.
 //!
-//! Chance must not pass for proof. Servers end for other reasons, and at the loss of a hall a frequent request
-//! is under way at many of them at once. So only servers count that ended under a run that had just begun,
-//! without having been known to leave; half, where they had shown an event of the run; and only where no server
-//! had survived the request for some seconds before, at any daemon. A deadly request has no survivors, and a
-//! frequent sound one has some in every second. Nor does a server count whose end another request explains: a
-//! frequent sound request is under way wherever a deadly one comes.
+//! Coincidence must not count as proof. Servers also end for other reasons, and when a hall is lost, a
+//! frequent request is running at many of its servers. So a server counts only if it ended under a run that
+//! had just begun, and was not known to leave; it counts half if it had sent an event of the run; and it does
+//! not count if a server, at any daemon, survived the request within the last few seconds. A deadly request
+//! has no survivors, while a frequent sound one has some every second. A server whose end another request
+//! explains does not count either: a frequent sound request is running wherever a deadly one arrives.
 
 use crate::gateway::fingerprint::Fingerprint;
 use crate::gateway::tag::Tag;
@@ -21,70 +20,73 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// Servers that must have ended under a request, in halves. Two may end under a sound one by chance, both of
-/// one attempt; with three, and the resending that is under way when the third ends, a deadly request takes
-/// three or four. Where each of them shows an event first it takes six: no more than three beyond the third.
+/// Servers that must have ended under a request, in halves. Two may end under a sound request by chance, both
+/// in one attempt. With three, plus the retry that is already under way when the third ends, a deadly request
+/// takes three or four servers. If each of them sends an event first, it takes six: at most three more than
+/// the third.
 const PROOF_BLAME: u32 = 6;
-/// Servers that must have ended under a request, in halves, for it to explain the ends of such servers as had
-/// shown an event of another one: two, which chance rarely brings. Daemons that have just started hear each
-/// other's first words up to 0.4 s late, so that a daemon may know less of a deadly request than of a sound one
-/// that is under way wherever it comes.
+/// Servers that must have ended under a request, in halves, before it explains the end of servers that had
+/// sent an event of another request: two, which is rarely a coincidence. The first heartbeats between daemons
+/// that have just started arrive up to 0.4 s late, so a daemon may know less about a deadly request than
+/// about a sound one that runs at the same servers.
 const SUSPECT_BLAME: u32 = 4;
-/// Time after the last server's end for which a request is remembered: the longest lease that the platform's
-/// store gives, so that its record there lapses at about the same time.
+/// Time for which a request stays in quarantine. This is the longest lease that the platform's store grants,
+/// so the record in the store expires at about the same time.
 pub const QUARANTINE_TTL: Duration = Duration::from_secs(600);
-/// The same for what was seen of it: it lapses before what it proved does, so that the end of a quarantine is
-/// not taken back by a daemon's last word.
+/// Time after the last server's end for which evidence is kept. It expires before the quarantine does, so
+/// that a daemon's last report does not renew a quarantine that has just ended.
 const SUSPICION_TTL: Duration = Duration::from_secs(540);
-/// Time for which a request that was released is not judged: other daemons learn of the release later and
-/// tell meanwhile what they knew.
+/// Time for which a released request is not judged again: other daemons learn of the release later, and
+/// meanwhile still report their evidence.
 const RELEASE_TTL: Duration = Duration::from_secs(10);
-/// Time for which a survivor speaks for a request. A sound one that is under way at three servers which end
-/// together comes some times a second; one that turns deadly ends servers for so much longer.
+/// Time for which a survivor clears a request. A sound request that runs at three servers which end together
+/// arrives several times a second; a request that turns deadly crashes servers for this much longer.
 const SURVIVAL_TTL: Duration = Duration::from_secs(3);
-/// Requests of which survivors are remembered in such a time, at most; 24 bytes each.
+/// Highest number of requests with survivors that are remembered per [`SURVIVAL_TTL`]; 24 bytes each.
 const MAX_SURVIVORS: usize = 2_048;
-/// Suspected requests that are remembered at most. A hall's loss leaves a daemon with some of its young runs.
+/// Highest number of suspected requests that are remembered. The loss of a hall leaves a daemon with some of
+/// that hall's runs that had just begun.
 const MAX_SUSPICIONS: usize = 256;
-/// Suspected requests that a daemon, or a sum of several, tells at most, those under which most servers ended
-/// first: some 30 bytes each.
+/// Highest number of suspected requests in a report of one daemon or in a sum of several, by the number of
+/// servers that ended; about 30 bytes each.
 pub(crate) const MAX_REPORTED: usize = 32;
 
-/// What became of the servers that ran a request.
+/// What happened to the servers that ran a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// The starts of servers that ended as they began to run it, since one survived it, with how much each
-    /// counts, in halves. Several daemons may have seen the same one.
+    /// Servers that ended just after starting to run the request, since a server last survived it, each with
+    /// its blame in halves. The tag identifies one start of a server, so that a server which several daemons
+    /// saw counts once.
     pub ended: BTreeMap<Tag, u32>,
-    /// Whether a server lately survived it.
+    /// Whether a server recently survived the request.
     pub survived: bool,
 }
 
 impl Evidence {
-    /// How much counts against the request, in halves.
+    /// Total blame of the request, in halves.
     fn blame(&self) -> u32 {
         self.ended.values().sum()
     }
 
-    /// Of several requests that the same servers would prove, the one with the highest weight is looked at
-    /// first: with most blame, and of those with as much the one with the fewest servers, that had come least
-    /// far at each.
+    /// Rank among requests that the end of the same servers would prove; the highest is considered first. That
+    /// is the request with the most blame and, if equal, with the fewest servers, since its runs had then made
+    /// less progress at each of them.
     fn precedence(&self) -> (u32, Reverse<usize>) {
         (self.blame(), Reverse(self.ended.len()))
     }
 
-    /// Whether it proves that the request ends servers.
+    /// Whether this proves that the request crashes servers.
     fn is_proof(&self) -> bool {
         self.blame() >= PROOF_BLAME && !self.survived
     }
 
-    /// Leaves out servers whose end another request explains: it had come no further there than this one.
+    /// Removes servers whose end another request explains, which had made no more progress there than this one.
     fn exclude_explained(&mut self, explained: &Evidence) {
         let counts = |server: &Tag, blame: &u32| explained.ended.get(server) < Some(blame);
         self.ended.retain(|server, blame| counts(server, blame));
     }
 
-    /// Leaves out servers that had shown an event of this request, and none of another suspected one.
+    /// Removes servers that had sent an event of this request but none of `suspect`.
     fn exclude_begun(&mut self, suspect: &Evidence) {
         let counts = |server: &Tag, blame: &u32| {
             *blame >= RunProgress::NoEvents.blame()
@@ -93,12 +95,13 @@
         self.ended.retain(|server, blame| counts(server, blame));
     }
 
-    /// Whether it makes the request the likelier cause than one that had shown an event at the same server.
+    /// Whether this makes the request a likelier cause of a server's end than another one that had already had
+    /// an event from that server.
     fn is_suspect(&self) -> bool {
         self.blame() >= SUSPECT_BLAME && !self.survived
     }
 
-    /// Takes in what another daemon saw.
+    /// Adds the evidence of another daemon.
     pub fn merge(&mut self, other: &Evidence) {
         for (server, blame) in &other.ended {
             let known = self.ended.entry(*server).or_default();
@@ -108,19 +111,18 @@
     }
 }
 
-/// How far a run had come when its server ended.
+/// Progress of a run when its server ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunProgress {
-    /// Nothing of its answer had come.
+    /// No event of the response had arrived.
     NoEvents,
-    /// Its first events had come.
+    /// The first events had arrived.
     Begun,
 }
 
 impl RunProgress {
-    /// How much the server's end counts against the request, in halves. All 42 servers that were seen to end
-    /// under a deadly request had shown nothing of it; what has begun has most often met the end of a server by
-    /// chance.
+    /// Blame for the server's end, in halves. All 42 servers that were observed to end under a deadly request
+    /// had sent no event of it. A run that has begun mostly loses its server by coincidence.
     fn blame(self) -> u32 {
         match self {
             RunProgress::NoEvents => 2,
@@ -132,13 +134,13 @@
 /// Servers that ended under a request at this daemon.
 #[derive(Debug)]
 struct Suspicion {
-    /// The starts of the servers, and how much each counts, in halves.
+    /// Tags of the servers' starts, each with its blame in halves.
     servers: BTreeMap<Tag, u32>,
     /// When the last of them ended.
     last: Instant,
 }
 
-/// When requests were last survived, by spans of time: the present one and the one before it.
+/// When each request was last survived, in two time windows: the current one and the previous one.
 #[derive(Debug, Default)]
 struct Survivors {
     windows: [HashMap<Fingerprint, Instant>; 2],
@@ -163,35 +165,36 @@
     }
 }
 
-/// See the module.
+/// Evidence against requests, and the requests in quarantine; see the module documentation.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     survivors: Survivors,
     suspicions: HashMap<Fingerprint, Suspicion>,
-    /// What the other daemons told.
+    /// Evidence that the other daemons reported.
     peer_evidence: HashMap<Fingerprint, Evidence>,
-    /// Requests that are kept back, and until when.
+    /// Requests that are in quarantine, and until when.
     quarantined: HashMap<Fingerprint, Instant>,
-    /// Those that the store holds.
+    /// Requests with a record in the store, and until when it keeps them in quarantine.
     stored: HashMap<Fingerprint, Instant>,
     /// Requests that were released, and when.
     released: HashMap<Fingerprint, Instant>,
-    /// Proved requests of which this daemon saw a part and that are still to be written to the store.
+    /// Proved requests that this daemon has evidence of, still to be written to the store.
     unsaved: Vec<Fingerprint>,
-    /// Those whose record the store has lost.
+    /// Requests whose record the store has lost.
     lost: Vec<Fingerprint>,
 }
 
 impl Quarantine {
-    /// Notes that a server survived a run of a request: what ended before under it, ended for another reason.
+    /// Records that a server survived a run of a request, which clears the request: the servers that ended
+    /// under it before did so for another reason.
     pub fn record_survived(&mut self, request: Fingerprint, now: Instant) {
         self.survivors.insert(request, now);
         self.suspicions.remove(&request);
         self.quarantined.remove(&request);
     }
 
-    /// Notes that a server, known by the tag of its start, ended as it began to run a request. Says whether
-    /// that proves that the request ends servers.
+    /// Records that a server ended just after starting to run a request; `server` is the tag of its start.
+    /// Returns whether this proves that the request crashes servers.
     pub fn record_ended(
         &mut self,
         request: Fingerprint,
@@ -199,8 +202,8 @@
         progress: RunProgress,
         now: Instant,
     ) -> bool {
-        // Beside a survivor it must not count later either, when a service has had no server at all for longer
-        // than the survivor speaks.
+        // With a recent survivor the blame is zero for good. If it were decided later, it would count once
+        // the survivor has expired, which happens when a service has had no servers for longer than that.
         let blame = if self.survivors.contains_recent(request, now) { 0 } else { progress.blame() };
         if self.suspicions.len() >= MAX_SUSPICIONS && !self.suspicions.contains_key(&request) {
             self.forget_oldest();
@@ -208,7 +211,7 @@
         let suspicion = || Suspicion { servers: BTreeMap::new(), last: now };
         let suspicion = self.suspicions.entry(request).or_insert_with(suspicion);
         suspicion.last = now;
-        // More than prove it need not be told.
+        // Servers beyond those needed as proof need not be reported.
         if suspicion.servers.len() < PROOF_BLAME as usize {
             suspicion.servers.entry(server).or_insert(blame);
         }
@@ -222,8 +225,8 @@
         }
     }
 
-    /// Takes over what the other daemons told. What was proved once stays so when one of them falls silent,
-    /// but not when a server has survived it.
+    /// Replaces the evidence of the other daemons. A proved request stays in quarantine when one of them no
+    /// longer reports, but not when a server has survived it.
     pub fn set_peer_reports(&mut self, others: &HashMap<Fingerprint, Evidence>, now: Instant) {
         self.peer_evidence.clone_from(others);
         for (request, evidence) in others {
@@ -235,14 +238,14 @@
         }
     }
 
-    /// What this daemon saw.
+    /// Evidence of this daemon.
     fn own_evidence(&self, request: Fingerprint, now: Instant) -> Evidence {
         let ended = self.suspicions.get(&request).map(|suspicion| suspicion.servers.clone());
         let survived = self.survivors.contains_recent(request, now);
         Evidence { ended: ended.unwrap_or_default(), survived }
     }
 
-    /// Keeps a request back from now on where that is proved and new.
+    /// Puts a request in quarantine if it is newly proved. Returns whether it was.
     fn quarantine_if_proved(&mut self, request: Fingerprint, now: Instant) -> bool {
         let may_quarantine =
             self.quarantined_for(request, now).is_none() && !self.released.contains_key(&request);
@@ -256,10 +259,10 @@
         proved
     }
 
-    /// Whether more servers ended under a request than other ones explain.
+    /// Whether enough servers ended under a request that no other request explains.
     fn is_proved(&self, request: Fingerprint, now: Instant) -> bool {
         let mut remaining = self.total_evidence(request, now);
-        // Rare, so that what follows, which looks at all that is suspected, costs nothing on a sound day.
+        // Proof is rare, so the loop over all suspected requests below costs nothing in normal operation.
         if !remaining.is_proof() {
             return false;
         }
@@ -278,7 +281,7 @@
         remaining.is_proof()
     }
 
-    /// What became of the servers that ran a request, as far as any daemon told.
+    /// Evidence of all daemons.
     fn total_evidence(&self, request: Fingerprint, now: Instant) -> Evidence {
         let mut all = self.own_evidence(request, now);
         if let Some(others) = self.peer_evidence.get(&request) {
@@ -287,14 +290,14 @@
         all
     }
 
-    /// How long a request is still kept back; `None` where it may be sent.
+    /// Remaining time in quarantine; `None` if the request may be sent.
     pub fn quarantined_for(&self, request: Fingerprint, now: Instant) -> Option<Duration> {
         let until = self.quarantined.get(&request).max(self.stored.get(&request))?;
         let left = until.saturating_duration_since(now);
         (!left.is_zero()).then_some(left)
     }
 
-    /// How many requests are kept back.
+    /// Number of requests in quarantine.
     pub fn count(&self, now: Instant) -> usize {
         let all = self
             .quarantined
@@ -303,20 +306,19 @@
         all.filter(|(_, until)| **until > now).count()
     }
 
-    /// The store holds a record of a request.
+    /// Records that the store holds a record of the request.
     pub fn mark_stored(&mut self, request: Fingerprint, now: Instant) {
         self.stored.entry(request).or_insert(now + QUARANTINE_TTL);
     }
 
-    /// The store has lost its record of a request, which is to be written again.
+    /// Records that the store has lost its record of the request, so that it is written again.
     pub fn mark_lost(&mut self, request: Fingerprint, now: Instant) {
         let until = self.stored.remove(&request).unwrap_or(now + QUARANTINE_TTL);
         self.quarantined.entry(request).or_insert(until);
         self.lost.push(request);
     }
 
-    /// The store's record of a request is gone: it has lapsed, or an operator took it away. Whatever is known
-    /// of the request is forgotten.
+    /// Forgets all about a request: its record in the store has expired or was deleted by an operator.
     pub fn release(&mut self, request: Fingerprint, now: Instant) {
         self.released.insert(request, now);
         self.stored.remove(&request);
@@ -325,7 +327,7 @@
         self.peer_evidence.remove(&request);
     }
 
-    /// Whether any is kept back, or is still to be written to the store.
+    /// Whether nothing is in quarantine or still to be written to the store.
     pub fn is_empty(&self) -> bool {
         self.unsaved.is_empty()
             && self.lost.is_empty()
@@ -333,23 +335,23 @@
             && self.stored.is_empty()
     }
 
-    /// Requests that are still to be written to the store; each is given once.
+    /// Takes the requests that are to be written to the store; each is returned once.
     pub fn take_unsaved(&mut self) -> Vec<Fingerprint> {
         std::mem::take(&mut self.unsaved)
     }
 
-    /// Requests whose record is to be written again; each is given once.
+    /// Takes the requests whose record is to be written again; each is returned once.
     pub fn take_lost(&mut self) -> Vec<Fingerprint> {
         std::mem::take(&mut self.lost)
     }
 
-    /// Whether a request should still be written to the store.
+    /// Whether a request still has to be written to the store.
     pub fn is_unsaved(&self, request: Fingerprint, now: Instant) -> bool {
         self.quarantined.get(&request).is_some_and(|until| *until > now)
             && !self.stored.contains_key(&request)
     }
 
-    /// What this daemon has seen of suspected requests, for the others.
+    /// This daemon's evidence on suspected requests, for its peers.
     pub fn for_peers(&mut self, now: Instant) -> Vec<(Fingerprint, Evidence)> {
         let age = |at: Instant| now.saturating_duration_since(at);
         self.suspicions.retain(|_, suspicion| age(suspicion.last) < SUSPICION_TTL);
@@ -364,7 +366,7 @@
     }
 }
 
-/// The requests under which most servers ended, as many as are told.
+/// The [`MAX_REPORTED`] requests with the most blame.
 pub(crate) fn top_suspects(
     mut reported: Vec<(Fingerprint, Evidence)>,
 ) -> Vec<(Fingerprint, Evidence)> {
--- a/src/gateway/rollout.rs
+++ b/src/gateway/rollout.rs
@@ -1,14 +1,15 @@
-//! Roll-outs: a service's traffic moves to a version whose servers start beside the old ones.
+//! Rollouts: moving a service's traffic to a new version whose servers start beside the old ones.
 //!
-//! The servers of the new version are the candidate, those of all others the baseline. Until the candidate is known
-//! to be sound it gets a bounded part of the requests: each request is drawn by its own id, so that daemons that are
-//! killed, cut off or join don't change the part. All of them go to a few of its servers at a time, the canaries, which
-//! are as full as the old ones are; the others follow in turn. Rare routes get a larger part of their requests, so
-//! that each is tried.
+//! The servers of the new version are the candidate, all others are the baseline. Until the candidate is
+//! known to be sound, it gets a bounded fraction of the requests. Each request is assigned by a hash of its
+//! route and id, so that the fraction stays the same when daemons are killed, cut off or join. These requests
+//! go to a few candidate servers at a time, the canaries, so that a canary is as loaded as a baseline server;
+//! the canaries rotate through all candidate servers. Rare routes send a larger fraction of their requests,
+//! so that every route is tested.
 //!
-//! Daemons add up how requests went at each version, by route ([`tally`]), and each of them tests the sums
-//! ([`verdict`]). One that finds the candidate bad sends nothing more there, whatever the store says. What is to be
-//! agreed, how far the roll-out has come, is a record in the store that is written under a condition
+//! Daemons sum up the outcomes of requests by version and route ([`tally`]), and each daemon tests the sums
+//! ([`verdict`]). A daemon that finds the candidate bad sends it no more requests, whatever the store says.
+//! The state of the rollout has to be agreed on: it is a record in the store, written by compare-and-swap
 //! ([`controller`]), so that any daemon may take the next step and only one does.
 
 pub mod controller;
@@ -31,41 +32,46 @@
 use tally::Tally;
 use verdict::SequentialTest;
 
-/// Part of the platform's bound on what a candidate may get that is used.
+/// Fraction of the platform's exposure limit for candidates that is used.
 const EXPOSURE_FRACTION: f64 = 0.85;
-/// Most of one route's requests that the candidate gets.
+/// Highest fraction of one route's requests that the candidate gets during its trial.
 const MAX_ROUTE_FRACTION: f64 = 0.3;
 /// Time for which requests go to the same canaries.
 const CANARY_INTERVAL: Duration = Duration::from_millis(2_500);
-/// Part of a roll-out's time, and its bounds, for the shift of all traffic and of the runs under way.
+/// Fraction of a rollout's time limit in which all traffic and all running requests move to the candidate,
+/// with the bounds of that time.
 const SHIFT_FRACTION: f64 = 0.35;
 const MIN_SHIFT_TIME: Duration = Duration::from_millis(3_000);
 const MAX_SHIFT_TIME: Duration = Duration::from_millis(5_000);
-/// Part of the time for the shift in which the candidate's part of the requests grows to all of them.
+/// Fraction of the shift time in which the candidate's share of requests grows to all of them.
 const RAMP_FRACTION: f64 = 0.25;
-/// Time before a roll-out's end at which it is decided, whatever is still under way.
+/// Time before the deadline of a rollout at which it is decided, even with work still in progress.
 const DECISION_MARGIN: Duration = Duration::from_millis(800);
-/// Time before its end up to which a candidate may still be found sound.
+/// Time before the deadline up to which a candidate may still be found sound. A shorter shift time takes
+/// precedence.
 const MIN_TIME_FOR_SHIFT: Duration = Duration::from_millis(2_500);
-/// Time after which servers of which none is listed are taken not to be there.
+/// Time after the order from which a service is taken not to be declared, or to have no baseline, if neither
+/// was seen by then.
 const SETTLE_TIME: Duration = Duration::from_millis(2_000);
-/// Requests at the candidate without which it is not known to be sound, if so many could come.
+/// Requests that the candidate must have served to count as sound, if its share of the traffic allows as
+/// many.
 const MIN_REQUESTS: u32 = 12;
-/// The same for each route.
+/// The same minimum for each route.
 const MIN_REQUESTS_PER_ROUTE: u32 = 3;
-/// Time after a completed roll-out within which servers of another version are old ones that are about to stop.
+/// Time after a completed rollout in which servers of other versions are still kept out of use: they are old
+/// ones that are about to stop.
 const STOP_PERIOD: Duration = Duration::from_secs(30);
 
-/// What the operators order for a service.
+/// An operator's order to roll out a version of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
     /// The new version.
     pub version: Arc<str>,
-    /// Time from the order within which it is to be in force.
+    /// Time from the order to the deadline, by which the version must be in force.
     pub time_limit: Duration,
 }
 
-/// Requests of one route at the servers of one arm of a roll-out.
+/// Key of a tally: the requests of one route at the servers of one arm of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Stratum {
     rollout: Tag,
@@ -74,58 +80,58 @@
 }
 
 impl Stratum {
-    /// The arm.
+    /// Whether these requests went to the baseline or to the candidate.
     pub fn arm(&self) -> Arm {
         self.arm
     }
 }
 
-/// What daemons tell each other of roll-outs.
+/// What daemons report to each other about rollouts.
 #[derive(Debug, Clone, Default)]
 pub struct Reports {
-    /// How requests went.
+    /// Outcomes of requests.
     pub tallies: HashMap<Stratum, Tally>,
-    /// How long ago orders were given at least, in milliseconds.
+    /// Time since each order was given, in milliseconds; a lower bound.
     pub order_ages_ms: HashMap<Tag, u32>,
 }
 
-/// The servers of a service by version.
+/// The servers of a service, counted by version.
 #[derive(Debug, Clone, Default)]
 pub struct VersionCounts {
     /// Whether they have been counted since the order.
     pub counted: bool,
     /// Whether the configuration declares the service.
     pub declared: bool,
-    /// Servers of the candidate that take requests, in an order that all daemons see alike.
+    /// Candidate servers that are open and warmed up, in an order that is the same at all daemons.
     pub ready_candidates: Vec<ServerKey>,
-    /// Servers of the candidate that are listed.
+    /// Number of listed candidate servers.
     pub candidate_count: usize,
-    /// Servers of the baseline that are listed.
+    /// Number of listed baseline servers.
     pub baseline_count: usize,
-    /// What runs at those.
+    /// Number of requests that run at the baseline servers.
     pub baseline_runs: u32,
 }
 
-/// A step that is due in a roll-out.
+/// A state change that is due in a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Step {
-    /// The state that it leads to.
+    /// The new state.
     pub to: State,
-    /// Why.
+    /// The reason, as written to the record.
     pub why: &'static str,
 }
 
-/// One roll-out as this daemon knows it.
+/// One rollout as this daemon knows it.
 #[derive(Debug)]
 pub struct Rollout {
     order: Order,
-    /// Where the store wrote the order.
+    /// Position in the store at which the order was written.
     position: Position,
-    /// Its name among daemons.
+    /// Identifies the rollout in messages between daemons.
     tag: Tag,
-    /// When the order was given, as far as known.
+    /// Earliest time at which any daemon is known to have seen the order.
     ordered_at: Instant,
-    /// How far the store says it has come, and since when this daemon knows.
+    /// State according to the store, and when this daemon learned of it.
     state: Option<(State, Instant)>,
     /// Why this daemon sends nothing to the candidate.
     halt_reason: Option<&'static str>,
@@ -133,7 +139,7 @@
     peer_tallies: HashMap<(Tag, Arm), Tally>,
     test: SequentialTest,
     counts: VersionCounts,
-    /// Whether servers of the baseline were seen since the order.
+    /// Whether baseline servers were seen since the order.
     had_baseline: bool,
 }
 
@@ -154,12 +160,12 @@
         }
     }
 
-    /// Whether an order is this one, which the operators have written again since the store lost it.
+    /// Whether `order` is this one, written again by the operators after the store lost it.
     fn is_reissue(&self, order: &Order, position: Position) -> bool {
         self.position.era < position.era && self.order == *order
     }
 
-    /// How far it has come for this daemon's own requests.
+    /// State that applies to this daemon's own requests.
     fn state(&self) -> State {
         match self.state {
             Some((State::Completed, _)) => State::Completed,
@@ -169,13 +175,13 @@
         }
     }
 
-    /// Time for the shift of all traffic and of the runs under way.
+    /// Time for moving all traffic and all running requests to the candidate.
     fn shift_time(&self) -> Duration {
         let shift = self.order.time_limit.mul_f64(SHIFT_FRACTION);
         shift.clamp(MIN_SHIFT_TIME, MAX_SHIFT_TIME).min(self.order.time_limit)
     }
 
-    /// Time in which the candidate's part of the requests grows to all of them.
+    /// Time in which the candidate's share of requests grows to all of them.
     fn ramp_time(&self) -> Duration {
         self.shift_time().mul_f64(RAMP_FRACTION)
     }
@@ -184,7 +190,7 @@
         now.saturating_duration_since(self.ordered_at)
     }
 
-    /// What all daemons counted.
+    /// Sum of all daemons' tallies.
     fn total(&self, route: Tag, arm: Arm) -> Tally {
         let mut total = self.own_tallies.get(&(route, arm)).copied().unwrap_or_default();
         total += self.peer_tallies.get(&(route, arm)).copied().unwrap_or_default();
@@ -208,8 +214,8 @@
         self.total(route, Arm::Baseline).requests + self.total(route, Arm::Candidate).requests
     }
 
-    /// Part of a route's requests that go to the candidate in its trial: all routes get as many there, as far as
-    /// they have them.
+    /// Fraction of a route's requests that go to the candidate during its trial. The candidate gets the same
+    /// number of requests from each route, as far as the route has that many.
     fn candidate_fraction(&self, route: Tag, exposure: f64) -> f64 {
         let mut routes = self.routes();
         if !routes.contains(&route) {
@@ -221,7 +227,7 @@
         (exposure * EXPOSURE_FRACTION * even).min(MAX_ROUTE_FRACTION)
     }
 
-    /// The candidate's servers that get its requests at present.
+    /// The candidate servers that get its requests at present.
     fn canaries(&self, exposure: f64, now: Instant) -> Vec<ServerKey> {
         let all = &self.counts.ready_candidates;
         let count =
@@ -232,7 +238,7 @@
         (start..start + count).filter_map(|n| all.get(n % all.len().max(1)).copied()).collect()
     }
 
-    /// Where a request goes, which `drawn` from zero to one tells; `None` where all servers are alike to it.
+    /// The servers that a request may go to; `None` if all servers of the service are equivalent.
     fn pick(&self, drawn: Draw, exposure: f64, now: Instant) -> Option<Pick> {
         let state = self.state();
         let is_only_version = self.counts.counted && self.counts.baseline_count == 0;
@@ -269,7 +275,7 @@
         })
     }
 
-    /// Servers that get nothing more.
+    /// Servers that get no more requests.
     fn retired(&self, now: Instant) -> Option<Retired> {
         let version = || self.order.version.clone();
         let since = self.state.map_or(self.ordered_at, |(_, since)| since);
@@ -284,7 +290,7 @@
         }
     }
 
-    /// Tests what was counted.
+    /// Runs the sequential test on the tallies, and halts the rollout here if the candidate is bad.
     fn evaluate(&mut self) {
         if self.state().is_final() {
             return;
@@ -299,7 +305,8 @@
         }
     }
 
-    /// Whether the candidate has been tried enough, on each route, and nothing speaks against it.
+    /// Whether the candidate has had enough requests, in total and on each route, and the test raises no
+    /// doubt.
     fn is_sound(&self, exposure: f64) -> bool {
         let routes = self.routes();
         let candidate_requests = |route: &Tag| self.total(*route, Arm::Candidate).requests;
@@ -315,7 +322,7 @@
         enough && routes.iter().all(has_enough) && !self.test.is_doubtful()
     }
 
-    /// The step that is due; the same for each daemon that knows as much.
+    /// The step that is due. Daemons with the same knowledge come to the same step.
     fn due_step(&self, exposure: f64, now: Instant) -> Option<Step> {
         let step = |to, why| Some(Step { to, why });
         let Some((state, since)) = self.state else {
@@ -362,7 +369,7 @@
     }
 }
 
-/// The name of a roll-out among daemons.
+/// Computes the tag that identifies a rollout in messages between daemons.
 fn tag(service: &str, order_position: Position) -> Tag {
     let era = Tag::of(service).combined_with(Tag::of_number(order_position.era));
     era.combined_with(Tag::of_number(order_position.revision))
--- a/src/gateway/rollout/controller.rs
+++ b/src/gateway/rollout/controller.rs
@@ -1,4 +1,4 @@
-//! Taking roll-outs from step to step: looking at what is known, and writing the record in the store.
+//! Moves rollouts from step to step: checks what is due, and writes the record in the store.
 
 use crate::gateway::cluster::Cluster;
 use crate::gateway::core::Gateway;
@@ -16,23 +16,23 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Time between two looks at roll-outs that are under way.
+/// Interval between checks of rollouts in progress.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// What a daemon waits longer with a step for each one that reads the store before it: the first one's write is heard
-/// of meanwhile.
+/// Extra delay before a step for each daemon that reads the store before this one. Meanwhile the write of an
+/// earlier daemon becomes known.
 const TURN_DELAY: Duration = Duration::from_millis(400);
-/// Longest such wait.
+/// Longest total delay of this kind.
 const MAX_TURN_DELAY: Duration = Duration::from_millis(1_600);
-/// Pause after a write that failed; every call is priced.
+/// Pause after a failed write. Calls to the store are charged for.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 impl Gateway {
-    /// The roll-outs. Servers are not to be locked while it is held.
+    /// The rollouts. Lock order: don't lock the servers while holding this guard.
     pub fn rollouts(&self) -> MutexGuard<'_, Rollouts> {
         self.rollouts.lock().expect("no holder panics")
     }
 
-    /// Takes in an order of the operators, or with `None` that it was withdrawn.
+    /// Applies an order of the operators; `None` means that it was withdrawn.
     pub(crate) fn apply_rollout_order(
         &self,
         service: &str,
@@ -43,16 +43,16 @@
         match &order {
             Some(order) => {
                 let ms = order.time_limit.as_millis() as u64;
-                info!(service = service, version = &*order.version, ms = ms; "roll-out ordered");
+                info!(service = service, version = &*order.version, ms = ms; "rollout ordered");
             }
-            None => info!(service = service; "roll-out withdrawn"),
+            None => info!(service = service; "rollout withdrawn"),
         }
         self.rollouts().set_order(service, position, order, now);
         self.update_rollouts(now);
         self.rollout_changed.notify_one();
     }
 
-    /// Takes in the store's record of a roll-out.
+    /// Applies the store's record of a rollout.
     pub(crate) fn apply_rollout_record(
         &self,
         service: &str,
@@ -61,7 +61,7 @@
         now: Instant,
     ) {
         let (state, why) = (record.state.name(), record.why.clone());
-        // The daemon that wrote it reads it once more with its copy of the store.
+        // The daemon that wrote the record receives it again with its copy of the store.
         if !self.rollouts().set_record(service, position, record, now) {
             return;
         }
@@ -71,7 +71,7 @@
         self.rollout_changed.notify_one();
     }
 
-    /// Where a request of `service` goes, which is drawn only if there is a roll-out.
+    /// The servers that a request of `service` may go to. `draw` is called only if the service has a rollout.
     pub(crate) fn pick(
         &self,
         service: &str,
@@ -85,7 +85,7 @@
             .and_then(|draw| rollouts.pick(service, draw, self.exposure(), now))
     }
 
-    /// Counts servers by version, and takes those out of use that get nothing more.
+    /// Counts servers by version, and takes retired servers out of use.
     pub(crate) fn update_rollouts(&self, now: Instant) {
         let versions = self.rollouts().versions();
         for (service, version) in versions {
@@ -97,7 +97,7 @@
             };
             if self.servers().retire(&service, retired.clone()) {
                 let why = halted.unwrap_or("recorded");
-                info!(service = &*service, version = &*version, retired = format!("{retired:?}").as_str(), why = why; "servers of a roll-out in use");
+                info!(service = &*service, version = &*version, retired = format!("{retired:?}").as_str(), why = why; "retired servers of a rollout changed");
             }
         }
     }
@@ -140,7 +140,7 @@
     since: Instant,
 }
 
-/// See the module.
+/// Takes the steps of all rollouts; see the module documentation.
 pub struct Controller {
     gateway: Arc<Gateway>,
     store: Arc<dyn Store>,
@@ -148,12 +148,12 @@
     mirror: Arc<Mirror>,
     cluster: Arc<Cluster>,
     pending: HashMap<Arc<str>, PendingStep>,
-    /// Since when records are known to be lost.
+    /// When records were first found to be missing from the store.
     lost_since: Option<Instant>,
 }
 
 impl Controller {
-    /// A controller that has seen no order.
+    /// Creates a controller with no pending steps.
     pub fn new(
         gateway: Arc<Gateway>,
         store: Arc<dyn Store>,
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Takes the steps that are due until the process ends.
+    /// Takes due steps until the process ends.
     pub async fn run(mut self) {
         loop {
             if !self.gateway.rollouts().is_active(time::now()) {
@@ -203,13 +203,13 @@
         }
     }
 
-    /// How long this daemon waits for those that read the store before it.
+    /// How long this daemon waits for the daemons that read the store before it.
     fn turn_delay(&self, now: Instant) -> Duration {
         let earlier = u32::try_from(self.cluster.readers_before(now)).unwrap_or(u32::MAX);
         TURN_DELAY.saturating_mul(earlier).min(MAX_TURN_DELAY)
     }
 
-    /// Writes records again that the store has lost. What was decided is not weighed anew.
+    /// Writes records again that the store has lost. Their decisions are not evaluated again.
     async fn write_lost(&mut self, now: Instant) {
         let lost = self.gateway.rollouts().lost_records();
         if lost.is_empty() {
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Writes the record that a step leads to, unless another daemon has written one meanwhile.
+    /// Writes the record of a step, unless another daemon has written one meanwhile.
     async fn take_step(&self, service: &Arc<str>, step: Step) {
         let Some((replaced, record)) = self.gateway.rollouts().next_record(service, step) else {
             return;
@@ -237,13 +237,15 @@
     async fn write_record(&self, service: &Arc<str>, replaced: Position, record: Record) {
         match self.write(service, replaced, &record).await {
             Ok(Swap::Won(revision)) => {
-                info!(service = &**service, state = record.state.name(), why = record.why.as_str(); "roll-out's step recorded");
+                info!(service = &**service, state = record.state.name(), why = record.why.as_str(); "rollout step recorded");
                 self.gateway.apply_rollout_record(service, revision, record, time::now());
             }
-            // Its record comes with the copy of the store.
-            Ok(Swap::Lost) => info!(service = &**service; "another daemon records the roll-out"),
+            // The other daemon's record arrives with the copy of the store.
+            Ok(Swap::Lost) => {
+                info!(service = &**service; "rollout step already recorded by another daemon")
+            }
             Err(e) => {
-                warn!(service = &**service, state = record.state.name(), why = e.to_string().as_str(); "roll-out's step not recorded");
+                warn!(service = &**service, state = record.state.name(), why = e.to_string().as_str(); "rollout step not recorded");
                 sleep(RETRY_DELAY).await;
             }
         }
@@ -256,10 +258,11 @@
         record: &Record,
     ) -> PlatformResult<Swap> {
         let key = format!("{}{service}", self.schema.rollout_records());
-        let value = serde_json::to_vec(record).expect("a record is JSON");
+        let value = serde_json::to_vec(record).expect("a record serializes to JSON");
         let version = self.gateway.rollouts().version(service).unwrap_or_default();
         let status = self.schema.rollout_status(service, &version, record.state);
-        // The record goes last: the revision of the whole is then its own, however the store counts.
+        // The record goes last, so that the revision of the transaction is the record's own, whether the
+        // store counts each key or each transaction.
         self.store.swap(&key, replaced, vec![status, (key.clone(), value)]).await
     }
 }
--- a/src/gateway/rollout/record.rs
+++ b/src/gateway/rollout/record.rs
@@ -1,35 +1,35 @@
-//! How far a roll-out has come, as the store has it.
+//! State of a rollout as recorded in the store.
 
 use crate::platform::Position;
 use serde::{Deserialize, Serialize};
 
-/// How far a roll-out has come.
+/// State of a rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// The candidate gets a part of the requests.
+    /// The candidate gets a bounded fraction of the requests.
     Trial,
-    /// The candidate was found sound, and all requests and runs go there.
+    /// The candidate was found sound; all requests, including running ones, move to it.
     Shift,
     /// The new version is in force.
     Completed,
-    /// The new version gets nothing.
+    /// The new version gets no requests.
     Reverted,
 }
 
 impl State {
-    /// Whether the roll-out is over.
+    /// Whether the rollout has ended.
     pub fn is_final(self) -> bool {
         self >= State::Completed
     }
 
-    /// Whether the store's record may lead from one state to another. What is over stays as it ended, but a version
-    /// that another daemon found bad goes out.
+    /// Whether a record may replace this state by `next`. A final state stays, except that a version which
+    /// another daemon found bad is still reverted.
     pub(super) fn may_become(self, next: State) -> bool {
         self != next && (!self.is_final() || next == State::Reverted)
     }
 
-    /// The name, for logs.
+    /// Name for logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             State::Trial => "trial",
@@ -40,36 +40,36 @@
     }
 }
 
-/// What the store holds of a roll-out.
+/// The store's record of a rollout.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The store's revision of the order.
+    /// Revision of the order in the store.
     pub order: u64,
-    /// The era of that revision.
+    /// Era of that revision.
     #[serde(default)]
     pub era: u64,
     /// The new version.
     #[serde(default)]
     pub version: String,
-    /// How far the roll-out has come.
+    /// State of the rollout.
     pub state: State,
-    /// Why.
+    /// Reason for the state.
     pub why: String,
 }
 
 impl Record {
-    /// Where the store wrote the order.
+    /// Position in the store at which the order was written.
     pub(super) fn order_position(&self) -> Position {
         Position::new(self.era, self.order)
     }
 }
 
-/// The record of a roll-out, and what the store has of it.
+/// A rollout's record, and what the store holds in its place.
 #[derive(Debug)]
 pub(super) struct KnownRecord {
     pub(super) record: Record,
-    /// Where the store has its record; the start where it has none.
+    /// Position of the record in the store; [`Position::START`] if the store has none.
     pub(super) position: Position,
-    /// Whether that is this record, and not an older one or none.
+    /// Whether the store holds this record, not an older one or none.
     pub(super) stored: bool,
 }
--- a/src/gateway/rollout/rollouts.rs
+++ b/src/gateway/rollout/rollouts.rs
@@ -1,4 +1,4 @@
-//! All roll-outs of a daemon, by service, and what the store has of them.
+//! All rollouts that a daemon knows, by service, with their records.
 
 use super::record::KnownRecord;
 use super::{
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// All roll-outs.
+/// All rollouts.
 #[derive(Debug, Default)]
 pub struct Rollouts {
     by_service: HashMap<Arc<str>, Rollout>,
@@ -20,7 +20,7 @@
 }
 
 impl Rollouts {
-    /// Takes in an order, or with `None` that it was withdrawn.
+    /// Applies an order; `None` means that it was withdrawn.
     pub fn set_order(
         &mut self,
         service: &str,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes in what the store says of how far a roll-out has come. Says whether that was not known before.
+    /// Applies the store's record of a rollout. Returns whether the record was unknown before.
     pub fn set_record(
         &mut self,
         service: &str,
@@ -65,8 +65,8 @@
         is_new
     }
 
-    /// The store has lost the record of a roll-out, which is to be written again; it has an older one there, or none
-    /// where that is the start.
+    /// Marks a record as lost by the store, so that it is written again. `position` is that of the older
+    /// record in the store, or the start if there is none.
     pub fn set_lost_record(
         &mut self,
         service: &str,
@@ -78,7 +78,7 @@
         self.apply_record(service, now);
     }
 
-    /// Records that the store has lost, each with the position of what it has there.
+    /// Records that the store has lost, each with the position of what the store has in its place.
     pub fn lost_records(&self) -> Vec<(Arc<str>, Position, Record)> {
         let lost = self.records.iter().filter(|(_, known)| !known.stored);
         lost.map(|(service, r)| (service.clone(), r.position, r.record.clone())).collect()
@@ -91,7 +91,8 @@
             return;
         };
         let order_position = record.order_position();
-        // An order of an earlier era that the operators have written again, as a daemon that started since knows it.
+        // The operators wrote an order of an earlier era again, and this daemon started since: use the
+        // position of the original order, to which the record belongs.
         if order_position.era < rollout.position.era && *record.version == *rollout.order.version {
             rollout.position = order_position;
             rollout.tag = tag(service, order_position);
@@ -104,7 +105,8 @@
         }
     }
 
-    /// The record that a step leads to, and the position of the one that it replaces; the start where there is none.
+    /// The record that a step leads to, and the position of the record that it replaces; the start if there
+    /// is none.
     pub fn next_record(&self, service: &str, step: Step) -> Option<(Position, Record)> {
         let rollout = self.by_service.get(service)?;
         let replaced = self.records.get(service).map_or(Position::START, |known| known.position);
@@ -114,7 +116,8 @@
         Some((replaced, record))
     }
 
-    /// Whether any roll-out is under way, or its old servers are about to stop.
+    /// Whether a rollout is in progress, has a lost record, or has completed so recently that its old servers
+    /// are about to stop.
     pub fn is_active(&self, now: Instant) -> bool {
         let is_stopping = |rollout: &Rollout| match rollout.state {
             Some((State::Completed, since)) => now.saturating_duration_since(since) < STOP_PERIOD,
@@ -130,28 +133,29 @@
             .filter(|(_, rollout)| rollout.state.is_none_or(|(state, _)| !state.is_final()))
     }
 
-    /// Whether a service has a roll-out.
+    /// Whether a service has a rollout.
     pub fn contains(&self, service: &str) -> bool {
         self.by_service.contains_key(service)
     }
 
-    /// Services with a roll-out, each with its new version.
+    /// Services with a rollout, each with its new version.
     pub fn versions(&self) -> Vec<(Arc<str>, Arc<str>)> {
         let all = self.by_service.iter();
         all.map(|(service, rollout)| (service.clone(), rollout.order.version.clone())).collect()
     }
 
-    /// The new version of a service's roll-out.
+    /// The new version of a service's rollout.
     pub fn version(&self, service: &str) -> Option<String> {
         Some(self.by_service.get(service)?.order.version.to_string())
     }
 
-    /// Where a request goes; `None` where all servers of its service are alike to it.
+    /// The servers that a request may go to; `None` if all servers of its service are equivalent.
     pub fn pick(&self, service: &str, draw: Draw, exposure: f64, now: Instant) -> Option<Pick> {
         self.by_service.get(service)?.pick(draw, exposure, now)
     }
 
-    /// Under which heading a request at a server of such a version counts; `None` where that tells nothing.
+    /// The tally in which a request at a server of `version` counts; `None` if no rollout of the service is
+    /// in progress.
     pub fn stratum(&self, service: &str, route: &str, version: &str) -> Option<Stratum> {
         let rollout = self.by_service.get(service)?;
         if rollout.state().is_final() {
@@ -162,7 +166,7 @@
         Some(Stratum { rollout: rollout.tag, route: Tag::of(route), arm })
     }
 
-    /// Notes an answer with its time, or with `None` a failure.
+    /// Records the response time of a request; `None` means that it failed.
     pub fn record_outcome(&mut self, stratum: Stratum, time: Option<Duration>) {
         let rollout = self.by_service.values_mut().find(|r| r.tag == stratum.rollout);
         if let Some(rollout) = rollout {
@@ -170,7 +174,7 @@
         }
     }
 
-    /// What this daemon tells others: how its requests went, and how old orders are.
+    /// What this daemon reports to its peers: the outcomes of its requests and the ages of orders.
     pub fn for_peers(&self, now: Instant) -> Reports {
         let mut reports = Reports::default();
         for (_, rollout) in self.active() {
@@ -182,14 +186,14 @@
         reports
     }
 
-    /// Takes over what the other daemons told.
+    /// Replaces the reports of the other daemons.
     pub fn set_peer_reports(&mut self, reports: &Reports, now: Instant) {
         for rollout in self.by_service.values_mut() {
             rollout.peer_tallies.clear();
             let tallies =
                 reports.tallies.iter().filter(|(stratum, _)| stratum.rollout == rollout.tag);
             rollout.peer_tallies.extend(tallies.map(|(s, tally)| ((s.route, s.arm), *tally)));
-            // An order is as old as any daemon knows it to be.
+            // The daemon that saw an order first determines its age.
             let age =
                 reports.order_ages_ms.get(&rollout.tag).and_then(|age| minus_millis(now, *age));
             rollout.ordered_at =
@@ -197,13 +201,13 @@
         }
     }
 
-    /// Tests what was counted since the last time. Answers of one moment are late together, so that this is done some
-    /// times a second and not for each of them.
+    /// Runs the test on outcomes since the last call. Responses at one moment are slow together, so this runs
+    /// a few times a second and not for each response.
     pub fn evaluate(&mut self) {
         self.by_service.values_mut().for_each(Rollout::evaluate);
     }
 
-    /// Takes in which servers a service with a roll-out has.
+    /// Updates the server counts of a service with a rollout.
     pub fn set_counts(&mut self, service: &str, counts: VersionCounts) {
         if let Some(rollout) = self.by_service.get_mut(service) {
             rollout.had_baseline |= counts.baseline_count > 0;
@@ -211,18 +215,18 @@
         }
     }
 
-    /// The steps that are due.
+    /// The steps that are due, by service.
     pub fn due_steps(&self, exposure: f64, now: Instant) -> Vec<(Arc<str>, Step)> {
         let due = self.active();
         due.filter_map(|(service, r)| Some((service.clone(), r.due_step(exposure, now)?))).collect()
     }
 
-    /// Servers of a service that get nothing more.
+    /// Servers of a service that get no more requests.
     pub fn retired(&self, service: &str, now: Instant) -> Option<Retired> {
         self.by_service.get(service)?.retired(now)
     }
 
-    /// Whether this daemon has found the candidate bad, and why.
+    /// Why this daemon sends nothing to the candidate, if it has found it bad.
     pub fn halt_reason(&self, service: &str) -> Option<&'static str> {
         self.by_service.get(service)?.halt_reason
     }
--- a/src/gateway/rollout/tally.rs
+++ b/src/gateway/rollout/tally.rs
@@ -1,26 +1,27 @@
-//! Counts of how requests went at the servers of one version.
+//! Counts of request outcomes at the servers of one version.
 
 use serde::{Deserialize, Serialize};
 use std::ops::AddAssign;
 use std::time::Duration;
 
-/// Buckets of a histogram of times; each bound is the square root of two times the one before.
+/// Buckets of the histogram of response times. Each upper bound is the square root of two times the previous
+/// one.
 const BUCKETS: usize = 24;
 /// Upper bound of the first bucket, in milliseconds. The last bucket begins at 5.8 s.
 const FIRST_BUCKET_MS: f64 = 2.0;
-/// Requests after which those before them count for a third.
+/// Number of requests after which the weight of earlier ones has dropped to about a third.
 const WINDOW: f64 = 30.0;
-/// Buckets that double a time.
+/// Number of buckets per doubling of the time.
 const BUCKETS_PER_DOUBLING: usize = 2;
 
-/// Requests of one route at the servers of one version.
+/// Outcomes of one route's requests at the servers of one version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// All of them.
+    /// All requests.
     pub requests: u32,
-    /// Those that failed.
+    /// Failed requests.
     pub failed: u32,
-    /// Times to the answer, of a stream to its first event, of the others.
+    /// Histogram of response times of the others; for a stream, the time to its first event.
     times: [u32; BUCKETS],
 }
 
@@ -34,15 +35,15 @@
     }
 }
 
-/// The bucket of a time.
+/// Index of the bucket for a response time.
 fn bucket(time: Duration) -> usize {
     let ratio = time.as_secs_f64() * 1_000.0 / FIRST_BUCKET_MS;
-    // Not negative, and clipped.
+    // The value is at least 0 before the cast, and capped at the last bucket after it.
     ((ratio.max(1.0).log2() * BUCKETS_PER_DOUBLING as f64).ceil() as usize).min(BUCKETS - 1)
 }
 
 impl Tally {
-    /// Notes an answer, or with `None` a failure.
+    /// Records a response time; `None` means that the request failed.
     pub fn record(&mut self, time: Option<Duration>) {
         self.requests += 1;
         match time {
@@ -51,12 +52,12 @@
         }
     }
 
-    /// Answers with a time.
+    /// Number of responses with a time.
     pub fn answered(&self) -> u32 {
         self.times.iter().sum()
     }
 
-    /// What has come since an earlier tally.
+    /// What was added since an earlier tally.
     pub fn since(&self, earlier: &Tally) -> Tally {
         let mut times = self.times;
         for (count, before) in times.iter_mut().zip(earlier.times) {
@@ -69,17 +70,17 @@
         }
     }
 
-    /// Answers that took longer than a time that [`Recent::slow`] gave.
+    /// Number of responses that took longer than a bound from [`Recent::slow_bound`].
     pub fn count_slower(&self, bound: SlowBound) -> u32 {
         self.times.iter().skip(bound.0 + 1).sum()
     }
 }
 
-/// A bound on times.
+/// An upper bound on response times, as the index of a bucket.
 #[derive(Debug, Clone, Copy)]
 pub struct SlowBound(usize);
 
-/// How requests went lately; each new one makes those before it count a little less.
+/// Outcomes of recent requests. Each new request reduces the weight of the earlier ones.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Recent {
     requests: f64,
@@ -88,7 +89,7 @@
 }
 
 impl Recent {
-    /// Adds requests.
+    /// Adds new requests.
     pub fn add(&mut self, more: &Tally) {
         let decay = (1.0 - f64::from(more.requests) / WINDOW).max(0.0);
         let add = |total: &mut f64, more: u32| *total = *total * decay + f64::from(more);
@@ -99,17 +100,17 @@
         }
     }
 
-    /// Answers with a time.
+    /// Weighted number of responses with a time.
     pub fn answered(&self) -> f64 {
         self.times.iter().sum()
     }
 
-    /// The rate of failures, with `assumed` requests besides of which one failed.
+    /// Failure rate, with one failure among `prior_requests` more requests added as a prior.
     pub fn failure_rate(&self, prior_requests: f64) -> f64 {
         (self.failed + 1.0) / (self.requests + prior_requests)
     }
 
-    /// Half as long again as all but a `part` of the answers take.
+    /// A bound of about one and a half times the response time that only `fraction` of the responses exceed.
     pub fn slow_bound(&self, fraction: f64) -> SlowBound {
         let mut above = self.answered();
         let most = above * fraction;
--- a/src/gateway/rollout/verdict.rs
+++ b/src/gateway/rollout/verdict.rs
@@ -1,37 +1,41 @@
-//! Telling a bad version from a sound one by a sequential test.
+//! Tells a bad version from a sound one by a sequential test.
 //!
-//! For each route the candidate's failures and its slow answers are weighed against the baseline's by a one-sided
-//! cumulative sum of log-likelihood ratios (E. S. Page, Continuous Inspection Schemes, Biometrika 41, 1954). It
-//! starts anew wherever the evidence speaks for the candidate, so that a version which turns bad later is told as
-//! soon as one that is bad from the start. By Ville's inequality a sound version crosses the threshold within n
-//! requests with a chance of at most n times e to the minus threshold; `tests/rollouts.rs` draws the chances of
-//! both mistakes.
+//! For each route, the candidate's failures and slow responses are compared with the baseline's by a
+//! one-sided cumulative sum (CUSUM) of log-likelihood ratios (E. S. Page, Continuous Inspection Schemes,
+//! Biometrika 41, 1954). The sum starts over whenever the evidence favors the candidate, so that a version
+//! which turns bad later is detected as fast as one that is bad from the start. By Ville's inequality, a
+//! sound version crosses the threshold within n requests with a probability of at most n times e to the minus
+//! threshold. `tests/rollouts.rs` simulates the probabilities of both kinds of error.
 
 use crate::gateway::rollout::tally::{Recent, Tally};
 use crate::gateway::tag::Tag;
 use std::collections::HashMap;
 
-/// Score at which a version is bad.
+/// Score from which a version counts as bad.
 const THRESHOLD: f64 = 7.0;
-/// Score up to which nothing speaks against a version.
+/// Score up to which a version may still count as sound.
 const DOUBT_THRESHOLD: f64 = 0.75 * THRESHOLD;
-/// How much more often than the baseline's a bad version's requests fail, as a part of those that don't.
+/// Fraction of the baseline's successful requests that would fail at a bad version, in addition to its
+/// failures.
 const BAD_FAILURE_INCREASE: f64 = 0.2;
-/// Least rate of failures that is taken as usual: fewer are not told apart from none by some hundred requests.
+/// Lower bound for the baseline's failure rate. Lower rates can't be told from zero with a few hundred
+/// requests.
 const MIN_FAILURE_RATE: f64 = 0.02;
-/// Part of the baseline's answers that count as its slowest.
+/// Fraction of the baseline's responses that count as its slowest.
 const SLOW_FRACTION: f64 = 0.25;
-/// Part of a sound version's answers that may take half as long again as those: its few servers are fuller at times.
+/// Fraction of a sound version's responses that may exceed [`Recent::slow_bound`]: its few canaries are more
+/// loaded at times.
 const SOUND_SLOW_FRACTION: f64 = 0.12;
-/// The same of a bad version.
+/// The same fraction for a bad version.
 const BAD_SLOW_FRACTION: f64 = 0.55;
-/// Answers of the baseline from which its slowest are known.
+/// Baseline responses needed before their slowest are known.
 const MIN_BASELINE_ANSWERS: f64 = 15.0;
-/// Answers of the candidate without one of the baseline after which it is not known what is usual.
+/// Candidate responses without a baseline response after which the current baseline is unknown, so that
+/// response times are ignored.
 const MAX_UNMATCHED: u32 = 3;
-/// Answers that came since the last time count for no more than so many: they are late together.
+/// Highest total weight of the responses of one update: responses at one moment are slow together.
 const MAX_BATCH_WEIGHT: f64 = 4.0;
-/// Requests that are assumed of the baseline besides those counted, one of which failed.
+/// Prior for the baseline's failure rate: this many requests, one of them failed.
 const PRIOR_REQUESTS: f64 = 10.0;
 
 /// What is wrong with a version.
@@ -39,12 +43,12 @@
 pub enum Fault {
     /// Its requests fail more often than the baseline's.
     Failing,
-    /// Its answers take several times as long.
+    /// Its responses take several times as long.
     Slow,
 }
 
 impl Fault {
-    /// The name, for logs and records.
+    /// Text for logs and records.
     pub fn name(self) -> &'static str {
         match self {
             Fault::Failing => "the version's requests fail",
@@ -53,7 +57,7 @@
     }
 }
 
-/// The score of one kind of event: a sum of log-likelihood ratios that does not fall below zero.
+/// CUSUM score of one kind of event: a sum of log-likelihood ratios that does not fall below zero.
 #[derive(Debug, Clone, Copy, Default)]
 struct Score(f64);
 
@@ -63,13 +67,13 @@
     }
 }
 
-/// The log-likelihood ratio of so many events in so many requests, expected at the rates `bad` and `sound`.
+/// Log-likelihood ratio of `events` in `requests`, for the rates `bad` and `sound`.
 fn log_likelihood_ratio(events: u32, requests: u32, sound: f64, bad: f64) -> f64 {
     let others = f64::from(requests.saturating_sub(events));
     f64::from(events) * (bad / sound).ln() + others * ((1.0 - bad) / (1.0 - sound)).ln()
 }
 
-/// The scores of failures and of slow answers.
+/// Scores for failures and for slow responses.
 #[derive(Debug, Clone, Copy, Default)]
 struct Scores {
     failures: Score,
@@ -94,29 +98,29 @@
     }
 }
 
-/// What new requests of one route add to the scores.
+/// Log-likelihood ratios that new requests of one route add to the scores.
 #[derive(Debug, Clone, Copy)]
 struct Ratios {
     failures: f64,
     slowness: f64,
 }
 
-/// The requests of one route that were taken in.
+/// The tallies of one route that were already scored.
 #[derive(Debug, Clone, Copy, Default)]
 struct RouteSamples {
     baseline: Tally,
-    /// How the baseline's went lately: a candidate is held against what is usual at the same time.
+    /// Recent outcomes of the baseline. The candidate is compared with the baseline of the same time.
     recent_baseline: Recent,
-    /// The candidate's of which the failures were taken in.
+    /// The candidate's tally up to which failures were scored.
     failures_seen: Tally,
-    /// Those of which the times were.
+    /// The candidate's tally up to which response times were scored.
     times_seen: Tally,
-    /// Answers of the candidate since the baseline's last one.
+    /// Candidate responses since the last baseline response.
     unmatched: u32,
 }
 
 impl RouteSamples {
-    /// Takes in what has come since the last time.
+    /// Scores what was added since the last call, and takes it into the samples.
     fn update(&mut self, baseline: &Tally, candidate: &Tally) -> Ratios {
         let added = baseline.since(&self.baseline);
         self.baseline = *baseline;
@@ -150,7 +154,8 @@
     }
 }
 
-/// The test of one candidate: by each route, for one that is bad on that route only, and by all together.
+/// The test of one candidate: for each route, to detect a version that is bad on one route only, and for all
+/// routes together.
 #[derive(Debug, Default)]
 pub struct SequentialTest {
     samples: HashMap<Tag, RouteSamples>,
@@ -159,8 +164,8 @@
 }
 
 impl SequentialTest {
-    /// Takes in what has come of a route since the last time. Says what is wrong with the candidate, if that is
-    /// proved.
+    /// Scores what was added to a route's tallies since the last call. Returns the fault of the candidate
+    /// once it is proved.
     pub fn evaluate(&mut self, route: Tag, baseline: &Tally, candidate: &Tally) -> Option<Fault> {
         let ratios = self.samples.entry(route).or_default().update(baseline, candidate);
         let scores = self.routes.entry(route).or_default();
@@ -169,7 +174,7 @@
         scores.fault().or(self.all.fault())
     }
 
-    /// Whether something speaks against the candidate, though it proves nothing.
+    /// Whether there is evidence against the candidate, even if it proves nothing.
     pub fn is_doubtful(&self) -> bool {
         self.all.is_doubtful() || self.routes.values().any(Scores::is_doubtful)
     }
