--- a/src/gateway/quarantine.rs
+++ b/src/gateway/quarantine.rs
@@ -137,7 +137,7 @@
     /// Tags of the servers' starts, each with its blame in halves.
     servers: BTreeMap<Tag, u32>,
     /// When the last of them ended.
-    last: Instant,
+    last_ended: Instant,
 }
 
 /// When each request was last survived, in two time windows: the current one and the previous one.
@@ -208,9 +208,9 @@
         if self.suspicions.len() >= MAX_SUSPICIONS && !self.suspicions.contains_key(&request) {
             self.forget_oldest();
         }
-        let suspicion = || Suspicion { servers: BTreeMap::new(), last: now };
+        let suspicion = || Suspicion { servers: BTreeMap::new(), last_ended: now };
         let suspicion = self.suspicions.entry(request).or_insert_with(suspicion);
-        suspicion.last = now;
+        suspicion.last_ended = now;
         // Servers beyond those needed as proof need not be reported.
         if suspicion.servers.len() < PROOF_BLAME as usize {
             suspicion.servers.entry(server).or_insert(blame);
@@ -219,7 +219,7 @@
     }
 
     fn forget_oldest(&mut self) {
-        let oldest = self.suspicions.iter().min_by_key(|(_, suspicion)| suspicion.last);
+        let oldest = self.suspicions.iter().min_by_key(|(_, suspicion)| suspicion.last_ended);
         if let Some(oldest) = oldest.map(|(request, _)| *request) {
             self.suspicions.remove(&oldest);
         }
@@ -227,9 +227,13 @@
 
     /// Replaces the evidence of the other daemons. A proved request stays in quarantine when one of them no
     /// longer reports, but not when a server has survived it.
-    pub fn set_peer_reports(&mut self, others: &HashMap<Fingerprint, Evidence>, now: Instant) {
-        self.peer_evidence.clone_from(others);
-        for (request, evidence) in others {
+    pub fn set_peer_reports(
+        &mut self,
+        peer_evidence: &HashMap<Fingerprint, Evidence>,
+        now: Instant,
+    ) {
+        self.peer_evidence.clone_from(peer_evidence);
+        for (request, evidence) in peer_evidence {
             if evidence.survived {
                 self.suspicions.remove(request);
                 self.quarantined.remove(request);
@@ -354,7 +358,7 @@
     /// This daemon's evidence on suspected requests, for its peers.
     pub fn for_peers(&mut self, now: Instant) -> Vec<(Fingerprint, Evidence)> {
         let age = |at: Instant| now.saturating_duration_since(at);
-        self.suspicions.retain(|_, suspicion| age(suspicion.last) < SUSPICION_TTL);
+        self.suspicions.retain(|_, suspicion| age(suspicion.last_ended) < SUSPICION_TTL);
         self.released.retain(|_, at| age(*at) < RELEASE_TTL);
         self.quarantined.retain(|_, until| *until > now);
         let peer_only =
--- a/src/gateway/rollout.rs
+++ b/src/gateway/rollout.rs
@@ -316,9 +316,9 @@
             candidate_requests(route) >= MIN_REQUESTS_PER_ROUTE
                 || expected(route) < f64::from(2 * MIN_REQUESTS_PER_ROUTE)
         };
-        let all: u32 = routes.iter().map(candidate_requests).sum();
-        let max_requests: f64 = routes.iter().map(expected).sum();
-        let enough = all >= MIN_REQUESTS || max_requests < f64::from(2 * MIN_REQUESTS);
+        let total: u32 = routes.iter().map(candidate_requests).sum();
+        let total_expected: f64 = routes.iter().map(expected).sum();
+        let enough = total >= MIN_REQUESTS || total_expected < f64::from(2 * MIN_REQUESTS);
         enough && routes.iter().all(has_enough) && !self.test.is_doubtful()
     }
 
@@ -331,8 +331,8 @@
         if let Some(why) = self.halt_reason.filter(|_| !state.is_final()) {
             return step(State::Reverted, why);
         }
-        let (age, time) = (self.age(now), self.order.time_limit);
-        let is_near_deadline = age + DECISION_MARGIN >= time;
+        let (age, time_limit) = (self.age(now), self.order.time_limit);
+        let is_near_deadline = age + DECISION_MARGIN >= time_limit;
         match state {
             State::Trial if self.counts.candidate_count == 0 => match self.counts.declared {
                 false if age >= SETTLE_TIME => step(State::Reverted, "the service is not declared"),
@@ -344,11 +344,11 @@
             }
             State::Trial => {
                 let shift = self.shift_time();
-                if age + shift < time {
+                if age + shift < time_limit {
                     None
                 } else if self.is_sound(exposure) {
                     step(State::Shift, "the version is sound")
-                } else if age + MIN_TIME_FOR_SHIFT.min(shift) >= time {
+                } else if age + MIN_TIME_FOR_SHIFT.min(shift) >= time_limit {
                     step(State::Reverted, "the version was not shown to be sound in time")
                 } else {
                     None
--- a/src/gateway/rollout/controller.rs
+++ b/src/gateway/rollout/controller.rs
@@ -90,13 +90,13 @@
         let versions = self.rollouts().versions();
         for (service, version) in versions {
             let counts = self.count_servers(&service, &version, now);
-            let (retired, halted) = {
+            let (retired, halt_reason) = {
                 let mut rollouts = self.rollouts();
                 rollouts.set_counts(&service, counts);
                 (rollouts.retired(&service, now), rollouts.halt_reason(&service))
             };
             if self.servers().retire(&service, retired.clone()) {
-                let why = halted.unwrap_or("recorded");
+                let why = halt_reason.unwrap_or("recorded");
                 info!(service = &*service, version = &*version, retired = format!("{retired:?}").as_str(), why = why; "retired servers of a rollout changed");
             }
         }
@@ -205,8 +205,8 @@
 
     /// How long this daemon waits for the daemons that read the store before it.
     fn turn_delay(&self, now: Instant) -> Duration {
-        let earlier = u32::try_from(self.cluster.readers_before(now)).unwrap_or(u32::MAX);
-        TURN_DELAY.saturating_mul(earlier).min(MAX_TURN_DELAY)
+        let readers_before = u32::try_from(self.cluster.readers_before(now)).unwrap_or(u32::MAX);
+        TURN_DELAY.saturating_mul(readers_before).min(MAX_TURN_DELAY)
     }
 
     /// Writes records again that the store has lost. Their decisions are not evaluated again.
--- a/src/gateway/rollout/rollouts.rs
+++ b/src/gateway/rollout/rollouts.rs
@@ -124,10 +124,10 @@
             _ => false,
         };
         let lost = self.records.values().any(|known| !known.stored);
-        lost || self.active().next().is_some() || self.by_service.values().any(is_stopping)
+        lost || self.in_progress().next().is_some() || self.by_service.values().any(is_stopping)
     }
 
-    fn active(&self) -> impl Iterator<Item = (&Arc<str>, &Rollout)> {
+    fn in_progress(&self) -> impl Iterator<Item = (&Arc<str>, &Rollout)> {
         self.by_service
             .iter()
             .filter(|(_, rollout)| rollout.state.is_none_or(|(state, _)| !state.is_final()))
@@ -177,7 +177,7 @@
     /// What this daemon reports to its peers: the outcomes of its requests and the ages of orders.
     pub fn for_peers(&self, now: Instant) -> Reports {
         let mut reports = Reports::default();
-        for (_, rollout) in self.active() {
+        for (_, rollout) in self.in_progress() {
             reports.order_ages_ms.insert(rollout.tag, millis_between(rollout.ordered_at, now));
             let stratum = |(route, arm)| Stratum { rollout: rollout.tag, route, arm };
             let own = rollout.own_tallies.iter().map(|(key, tally)| (stratum(*key), *tally));
@@ -217,8 +217,10 @@
 
     /// The steps that are due, by service.
     pub fn due_steps(&self, exposure: f64, now: Instant) -> Vec<(Arc<str>, Step)> {
-        let due = self.active();
-        due.filter_map(|(service, r)| Some((service.clone(), r.due_step(exposure, now)?))).collect()
+        let rollouts = self.in_progress();
+        rollouts
+            .filter_map(|(service, r)| Some((service.clone(), r.due_step(exposure, now)?)))
+            .collect()
     }
 
     /// Servers of a service that get no more requests.
--- a/src/gateway/rollout/tally.rs
+++ b/src/gateway/rollout/tally.rs
@@ -113,10 +113,10 @@
     /// A bound of about one and a half times the response time that only `fraction` of the responses exceed.
     pub fn slow_bound(&self, fraction: f64) -> SlowBound {
         let mut above = self.answered();
-        let most = above * fraction;
+        let max_above = above * fraction;
         let bound = self.times.iter().position(|count| {
             above -= count;
-            above <= most
+            above <= max_above
         });
         SlowBound(bound.unwrap_or(BUCKETS - 1) + 1)
     }
