--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -174,7 +174,10 @@
     let began = Instant::now();
     mirror.replace(all, position, now, now);
     note("start_copy", began.elapsed().as_secs_f64() * 1e6);
-    note("give_all", micros(5, || drop(black_box(mirror.all_after(Position::START, now)))));
+    note(
+        "give_all",
+        micros(5, || drop(black_box(mirror.complete_update_after(Position::START, now)))),
+    );
     let change = |n: u64| Change {
         key: format!("servers/{}", n % 50),
         value: Some(if n.is_multiple_of(2) { b"leaving".to_vec() } else { b"ready".to_vec() }),
@@ -186,7 +189,7 @@
         mirror.advance(vec![change(n)], after(n), now, now);
     });
     note("take_change", changed);
-    note("give_changes", micros(50, || drop(black_box(mirror.update_after(after(48), now)))));
+    note("give_changes", micros(50, || drop(black_box(mirror.small_update_after(after(48), now)))));
     note("roster", micros(50, || drop(black_box(roster.listing()))));
 }
 
@@ -212,7 +215,7 @@
     reader.replace(entries, after, now, now);
     note("return_read", began.elapsed().as_secs_f64() * 1e6);
     let began = Instant::now();
-    let update = reader.update_after(peer.position(), now).expect("it has read");
+    let update = reader.small_update_after(peer.position(), now).expect("it has read");
     note("return_given", began.elapsed().as_secs_f64() * 1e6);
     note("return_bytes", message::encode(&update).len() as f64);
     let began = Instant::now();
--- a/src/gateway/announce.rs
+++ b/src/gateway/announce.rs
@@ -54,7 +54,7 @@
     loop {
         let step = async {
             time::sleep(pause).await;
-            while mirror.store_is_away() {
+            while mirror.is_store_unreachable() {
                 sleep(OUTAGE_POLL_INTERVAL).await;
             }
             renew_or_create(&*store, &key, &value, lease).await
--- a/src/gateway/cluster.rs
+++ b/src/gateway/cluster.rs
@@ -21,7 +21,7 @@
 use crate::gateway::servers::{Load, PeerStats};
 use crate::gateway::start;
 use crate::gateway::tag::Tag;
-use crate::gateway::update::{Lack, Update};
+use crate::gateway::update::{Missing, Update};
 use crate::gateway::view::{OwnState, View};
 use crate::peer::{Handler, LinkLimits, Peers};
 use crate::time;
@@ -158,7 +158,7 @@
     pub async fn run(self: Arc<Self>) {
         tokio::spawn(self.links.clone().serve(self.handler()));
         loop {
-            self.mirror.tick(time::now());
+            self.mirror.expire(time::now());
             self.refresh_layout(time::now());
             for addr in self.heartbeat_targets(time::now()) {
                 self.spawn_peer_task(addr);
@@ -188,7 +188,7 @@
         let read = view.last_store_read();
         if self.mirror.last_failure().is_some_and(|failed| Some(failed) > read) {
             let since = read.unwrap_or(view.clock().started());
-            let turn = READ_STEP.saturating_mul(view.store_retry_turn(self.roster.count()));
+            let turn = READ_STEP.saturating_mul(view.store_retry_turn(self.roster.count_others()));
             return now.saturating_duration_since(since) > RECENT_READ + turn;
         }
         let turn = READ_STEP.saturating_mul(u32::try_from(before).unwrap_or(u32::MAX));
@@ -427,10 +427,10 @@
         };
         let confirmed_at = sent.and_then(|sent| minus_millis(sent, copy_status.age_ms));
         let lack = match confirmed_at {
-            Some(confirmed_at) => self.mirror.hear(copy_status, confirmed_at, now),
-            None => self.mirror.lack(&copy_status),
+            Some(confirmed_at) => self.mirror.receive_status(copy_status, confirmed_at, now),
+            None => self.mirror.missing_against(&copy_status),
         };
-        if lack == Lack::Nothing {
+        if lack == Missing::Nothing {
             return;
         }
         self.behind_since.lock().expect("no holder panics").get_or_insert(now);
@@ -453,12 +453,12 @@
     /// Fetches the missing changes from a peer: first the small values, then the large ones. The
     /// large ones are left out while this daemon reads the store itself, because both transfers
     /// would slow each other down on a narrow link.
-    async fn fetch(self: Arc<Self>, from: SocketAddr, lack: Lack) {
+    async fn fetch(self: Arc<Self>, from: SocketAddr, lack: Missing) {
         let complete = match lack {
-            Lack::Changes => {
+            Missing::Changes => {
                 self.fetch_from(from, Request::SmallAfter(self.mirror.position())).await
             }
-            Lack::LargeValues | Lack::Nothing => Some(false),
+            Missing::LargeValues | Missing::Nothing => Some(false),
         };
         let from_store =
             self.is_behind(time::now()) && !self.last_read_failed.load(Ordering::Acquire);
--- a/src/gateway/cluster/answering.rs
+++ b/src/gateway/cluster/answering.rs
@@ -20,7 +20,7 @@
     /// update permit is free.
     async fn send_small_values(&self, position: Position, peer_stream: &mut PeerStream) {
         let now = time::now();
-        match self.0.mirror.update_after(position, now).filter(|update| !update.full) {
+        match self.0.mirror.small_update_after(position, now).filter(|update| !update.full) {
             Some(update) => send(Some(update), peer_stream).await,
             None => self.send_all_values(position, peer_stream).await,
         }
@@ -31,7 +31,7 @@
     async fn send_all_values(&self, position: Position, peer_stream: &mut PeerStream) {
         let permit = self.0.update_permits.try_acquire();
         let update = match &permit {
-            Ok(_) => self.0.mirror.all_after(position, time::now()),
+            Ok(_) => self.0.mirror.complete_update_after(position, time::now()),
             Err(_) => None,
         };
         send(update, peer_stream).await;
--- a/src/gateway/core.rs
+++ b/src/gateway/core.rs
@@ -358,7 +358,7 @@
         if homes.is_empty() {
             return found;
         }
-        let halls = roster.halls();
+        let halls = roster.halls_by_address();
         let is_near = |addr: &SocketAddr| {
             let its = halls.get(addr).and_then(|hall| self.regions.of(hall));
             its == Some(region) || homes.iter().all(|homes| homes.allow(its))
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -189,7 +189,7 @@
         if after.is_start() {
             return false;
         }
-        let [servers, halls, rollouts] = self.mirror.urgent();
+        let [servers, halls, rollouts] = self.mirror.urgent_prefixes();
         // Only servers' changes, the most frequent ones, are waited for; the others are read without
         // waiting.
         let servers = self.read_prefix(servers, after, CHANGES_WAIT);
--- a/src/gateway/in_force.rs
+++ b/src/gateway/in_force.rs
@@ -16,16 +16,16 @@
 
 /// A version of the configuration and the position of its write in the store.
 #[derive(Debug, Clone)]
-pub struct Declared {
+pub struct DeclaredConfig {
     /// The position of its write.
     pub position: Position,
     /// The parsed configuration.
     pub table: Arc<Table>,
 }
 
-impl Declared {
+impl DeclaredConfig {
     /// Whether it replaces the version `known`.
-    fn is_newer(&self, known: &Declared) -> bool {
+    fn is_newer(&self, known: &DeclaredConfig) -> bool {
         let (era, known_era) = (self.position.era, known.position.era);
         let (version, known_version) = (self.table.version, known.table.version);
         match era.cmp(&known_era) {
@@ -40,14 +40,14 @@
 /// The configuration in force; see the module.
 #[derive(Default)]
 pub struct InForce {
-    declared: ArcSwapOption<Declared>,
+    declared: ArcSwapOption<DeclaredConfig>,
     /// When the version in force was last confirmed to be the newest.
     confirmed: Mutex<Option<Instant>>,
 }
 
 impl InForce {
     /// The version in force; `None` before the first one.
-    pub fn get(&self) -> Option<Arc<Declared>> {
+    pub fn get(&self) -> Option<Arc<DeclaredConfig>> {
         self.declared.load_full()
     }
 
@@ -58,7 +58,7 @@
 
     /// Puts a version into force that was the newest at `as_of`, unless it is older than the current
     /// one. Returns whether it came into force.
-    pub fn take(&self, declared: Declared, as_of: Instant) -> bool {
+    pub fn set_if_newer(&self, declared: DeclaredConfig, as_of: Instant) -> bool {
         let mut confirmed = self.confirmed.lock().expect("no holder panics");
         let newer = self.get().is_none_or(|known| declared.is_newer(&known));
         if newer {
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -23,7 +23,7 @@
 use crate::gateway::core::Gateway;
 use crate::gateway::port::{Change, Entry, Schema};
 use crate::gateway::roster::Roster;
-use crate::gateway::update::{Cell, Content, CopyStatus, Lack, Update};
+use crate::gateway::update::{Content, CopyStatus, KeyUpdate, Missing, Update};
 use crate::platform::Position;
 use log::{info, warn};
 use retained::Retention;
@@ -68,13 +68,13 @@
         let servers = state.servers();
         Some(CopyStatus {
             position: state.position,
-            changed: state.last_change(),
-            servers,
+            last_change: state.last_change(),
+            servers_position: servers,
             // Changes beyond that position may be incomplete.
-            servers_changed: state.server_change.min(servers),
-            since: state.deletions_known_after,
+            last_server_change: state.server_change.min(servers),
+            deletions_known_after: state.deletions_known_after,
             age_ms,
-            retained: state.retained_checksum(),
+            retained_checksum: state.retained_checksum(),
         })
     }
 
@@ -126,7 +126,12 @@
             // that applied the deletion need the key again. Peers that know more of the previous era
             // than this copy get all keys.
             let mattered = (!is_new_era && incoming.revision > before).then_some(incoming.revision);
-            self.apply_change(&mut state, IncomingChange { mattered, ..incoming }, as_of, now);
+            self.apply_change(
+                &mut state,
+                IncomingChange { last_significant: mattered, ..incoming },
+                as_of,
+                now,
+            );
         }
         state.server_changes.log();
     }
@@ -158,26 +163,26 @@
 
     /// Processes a peer's status that was true at `as_of` or later, and returns what this copy is
     /// missing.
-    pub fn hear(&self, copy_status: CopyStatus, as_of: Instant, now: Instant) -> Lack {
+    pub fn receive_status(&self, copy_status: CopyStatus, as_of: Instant, now: Instant) -> Missing {
         let mut state = self.state();
         if copy_status.position.era != state.position.era {
-            return state.lack(&copy_status);
+            return state.missing_against(&copy_status);
         }
-        if state.position < copy_status.since {
+        if state.position < copy_status.deletions_known_after {
             // The peer no longer knows the deletions between the two positions; another peer may.
             let is_unconfirmed = state.confirmed.is_none() || state.age(now) > FULL_FETCH_AFTER;
-            return if is_unconfirmed { Lack::Changes } else { Lack::Nothing };
+            return if is_unconfirmed { Missing::Changes } else { Missing::Nothing };
         }
-        let lack = state.lack(&copy_status);
-        if lack == Lack::Nothing {
+        let lack = state.missing_against(&copy_status);
+        if lack == Missing::Nothing {
             // A value retained by the peer may be newer than the one in effect here.
             let known = [0, state.retained_checksum()];
-            if !known.contains(&copy_status.retained)
-                && !state.fetched_retained.contains(&copy_status.retained)
+            if !known.contains(&copy_status.retained_checksum)
+                && !state.fetched_retained.contains(&copy_status.retained_checksum)
             {
-                return Lack::Changes;
+                return Missing::Changes;
             }
-            state.servers = state.servers.max(copy_status.servers);
+            state.servers = state.servers.max(copy_status.servers_position);
             if copy_status.position >= state.position {
                 self.confirm(&mut state, copy_status.position, as_of, now);
             }
@@ -186,8 +191,8 @@
     }
 
     /// What this copy is missing according to a peer's status of unknown age.
-    pub fn lack(&self, copy_status: &CopyStatus) -> Lack {
-        self.state().lack(copy_status)
+    pub fn missing_against(&self, copy_status: &CopyStatus) -> Missing {
+        self.state().missing_against(copy_status)
     }
 
     /// Records at `now` that the store answered some daemon at `at`.
@@ -201,7 +206,7 @@
     }
 
     /// Whether the store currently answers no daemon, as far as known.
-    pub fn store_is_away(&self) -> bool {
+    pub fn is_store_unreachable(&self) -> bool {
         self.state().outages.is_unreachable()
     }
 
@@ -211,12 +216,12 @@
     }
 
     /// The changes that a copy at `after` is missing, without large values.
-    pub fn update_after(&self, after: Position, now: Instant) -> Option<Update> {
+    pub fn small_update_after(&self, after: Position, now: Instant) -> Option<Update> {
         self.update(after, SMALL_VALUE_BYTES, now)
     }
 
     /// All changes that a copy at `after` is missing.
-    pub fn all_after(&self, after: Position, now: Instant) -> Option<Update> {
+    pub fn complete_update_after(&self, after: Position, now: Instant) -> Option<Update> {
         self.update(after, usize::MAX, now)
     }
 
@@ -232,16 +237,16 @@
             true => state.keys.iter().partition(is_given),
             false => state.changed_after(after).partition(is_given),
         };
-        let cell = |(key, key_state): (&Arc<str>, &KeyState)| Cell {
+        let cell = |(key, key_state): (&Arc<str>, &KeyState)| KeyUpdate {
             key: key.to_string(),
             revision: key_state.revision,
-            mattered: key_state.mattered,
+            last_significant: key_state.last_significant,
             content: key_state.content.clone(),
         };
         let cells = given.into_iter().map(cell).collect();
         let (retained, all_retained) = state.retained_for_peer(max_bytes, now);
-        let (base, complete) = (state.base, left.is_empty() && all_retained);
-        Some(Update { copy_status, full: whole, complete, base, cells, retained })
+        let (base, complete) = (state.first_read, left.is_empty() && all_retained);
+        Some(Update { copy_status, full: whole, complete, first_read: base, keys: cells, retained })
     }
 
     /// Applies an update from a peer that was true at `as_of` or later.
@@ -252,12 +257,12 @@
             if position.era < state.position.era {
                 return;
             }
-            state.fetched_retained.insert(update.copy_status.retained);
-            self.enter_era(&mut state, position, update.base, now)
+            state.fetched_retained.insert(update.copy_status.retained_checksum);
+            self.enter_era(&mut state, position, update.first_read, now)
         };
         match update.full && update.complete {
             true => {
-                let live = update.cells.into_iter().filter(|cell| !cell.content.is_deleted());
+                let live = update.keys.into_iter().filter(|cell| !cell.content.is_deleted());
                 self.replace_all(
                     live.map(IncomingChange::from).collect(),
                     position,
@@ -276,12 +281,14 @@
 
     /// Applies an update that does not hold all keys.
     fn apply_changes(&self, update: Update, is_new_era: bool, as_of: Instant, now: Instant) {
-        let CopyStatus { position, servers, since, .. } = update.copy_status;
+        let CopyStatus {
+            position, servers_position: servers, deletions_known_after: since, ..
+        } = update.copy_status;
         if is_new_era && !update.full {
             self.state().deletions_known_after = since;
         }
         let mut incoming: Vec<IncomingChange> =
-            update.cells.into_iter().map(IncomingChange::from).collect();
+            update.keys.into_iter().map(IncomingChange::from).collect();
         incoming.sort_by_key(|incoming| incoming.revision);
         let is_behind_era = self.state().position.era < position.era;
         match update.complete {
@@ -320,7 +327,7 @@
 
     /// The prefixes of the urgent keys, which are read separately from large values: servers' entries,
     /// closed halls and roll-out orders.
-    pub fn urgent(&self) -> [&str; 3] {
+    pub fn urgent_prefixes(&self) -> [&str; 3] {
         [self.schema.servers(), self.schema.closed_halls(), self.schema.rollouts()]
     }
 
@@ -348,7 +355,7 @@
     }
 
     /// Removes servers whose entries were not written again in time, and expires retained values.
-    pub fn tick(&self, now: Instant) {
+    pub fn expire(&self, now: Instant) {
         let mut state = self.state();
         self.expire_retained(&mut state, now);
         let due: Vec<String> =
@@ -401,7 +408,7 @@
         as_of: Instant,
         now: Instant,
     ) {
-        let IncomingChange { key, revision, content, mattered } = incoming;
+        let IncomingChange { key, revision, content, last_significant: mattered } = incoming;
         if !self.is_mirrored(&key) {
             return;
         }
@@ -430,7 +437,7 @@
         let is_new = is_new || (is_of_later_era && is_record);
         let kept = state.retained.get(&*key);
         let lost = self.lost_value(state, &key, known, revision, &content, now);
-        let last = known.map_or(Position::START, |key_state| key_state.mattered);
+        let last = known.map_or(Position::START, |key_state| key_state.last_significant);
         let mattered = match mattered {
             // From a peer that kept its copy across a restore, with the position that the change had
             // before.
@@ -440,7 +447,10 @@
             None => last,
         };
         let matters = is_new || mattered > last;
-        state.set_key(&key, KeyState { revision, mattered, content: content.clone() });
+        state.set_key(
+            &key,
+            KeyState { revision, last_significant: mattered, content: content.clone() },
+        );
         let stays = lost.is_some();
         match lost {
             Some(kept) => self.retain(state, &key, kept, now),
@@ -478,7 +488,7 @@
         let kept = state.retained.get(key);
         let is_of_later_era = known.is_some_and(|known| known.is_before(revision.era));
         // Lost versions of the configuration may be written again one by one.
-        let is_read = revision <= state.base || key == self.schema.declaration();
+        let is_read = revision <= state.first_read || key == self.schema.declaration();
         if !is_read || !(is_of_later_era || kept.is_some()) {
             return None;
         }
@@ -489,7 +499,12 @@
         };
         let until = kept.map_or_else(|| self.retained_until(key, now), |kept| kept.until);
         let is_lost = self.is_lost(key, stands, content);
-        is_lost.then(|| Retention { content: stands.clone(), position, over: revision, until })
+        is_lost.then(|| Retention {
+            content: stands.clone(),
+            position,
+            overridden: revision,
+            until,
+        })
     }
 
     fn is_mirrored(&self, key: &str) -> bool {
@@ -503,7 +518,7 @@
     /// Whether a key is read and sent separately from large values: a server's entry, a closed hall or a
     /// roll-out order.
     fn is_urgent(&self, key: &str) -> bool {
-        self.urgent().iter().any(|prefix| key.starts_with(prefix))
+        self.urgent_prefixes().iter().any(|prefix| key.starts_with(prefix))
     }
 }
 
--- a/src/gateway/mirror/activate.rs
+++ b/src/gateway/mirror/activate.rs
@@ -3,7 +3,7 @@
 use super::Mirror;
 use super::state::{LAPSED_GRACE, State};
 use crate::gateway::fingerprint::Fingerprint;
-use crate::gateway::in_force::Declared;
+use crate::gateway::in_force::DeclaredConfig;
 use crate::gateway::servers::ServerRecord;
 use crate::gateway::update::Content;
 use crate::platform::Position;
@@ -97,7 +97,7 @@
         match self.schema.table(value) {
             Ok(table) => {
                 let (version, table) = (table.version, Arc::new(table));
-                if self.gateway.in_force.take(Declared { position, table }, as_of) {
+                if self.gateway.in_force.set_if_newer(DeclaredConfig { position, table }, as_of) {
                     self.gateway.metrics.config_revision.set(revision as i64);
                     info!(version = version, revision = revision; "configuration in force");
                 }
--- a/src/gateway/mirror/retained.rs
+++ b/src/gateway/mirror/retained.rs
@@ -31,7 +31,7 @@
     /// The position of its write, in an earlier era.
     pub(super) position: Position,
     /// The position of the store's change that it overrides; a later change ends the retention.
-    pub(super) over: Position,
+    pub(super) overridden: Position,
     /// When the retention expires; `None` if it lasts until the key is written.
     pub(super) until: Option<Instant>,
 }
@@ -58,8 +58,8 @@
             key: key.to_string(),
             content: kept.content.clone(),
             position: kept.position,
-            over: kept.over,
-            left_ms: kept.until.map(left),
+            overridden: kept.overridden,
+            remaining_ms: kept.until.map(left),
         });
         let given: Vec<Retained> = given.collect();
         let all = given.len() == self.retained.len();
@@ -112,7 +112,7 @@
             state.retained.insert(key.into(), kept);
             return;
         }
-        info!(key = key, over = kept.over.revision; "the store has lost a value: retaining it");
+        info!(key = key, over = kept.overridden.revision; "the store has lost a value: retaining it");
         let request = key.strip_prefix(self.schema.quarantine()).and_then(Fingerprint::parse);
         if let Some(request) = request.filter(|_| !kept.content.is_deleted()) {
             self.gateway.quarantine().mark_lost(request, now);
@@ -160,7 +160,8 @@
     /// Adopts the values that a peer retains.
     pub(super) fn adopt(&self, state: &mut State, retained: Vec<Retained>, now: Instant) {
         for value in retained {
-            let Retained { key, content, position, over, left_ms } = value;
+            let Retained { key, content, position, overridden: over, remaining_ms: left_ms } =
+                value;
             let key_state = state.keys.get(&*key);
             let is_written = key_state.is_some_and(|key_state| key_state.revision > over);
             let stands = state.retained.get(&*key).map(|kept| kept.position);
@@ -169,7 +170,7 @@
                 continue;
             }
             let until = left_ms.map(|ms| now + Duration::from_millis(ms.into()));
-            let kept = Retention { content: content.clone(), position, over, until };
+            let kept = Retention { content: content.clone(), position, overridden: over, until };
             self.retain(state, &key, kept, now);
             if key.starts_with(self.schema.rollout_records()) {
                 continue;
--- a/src/gateway/mirror/state.rs
+++ b/src/gateway/mirror/state.rs
@@ -3,7 +3,7 @@
 use super::retained::Retention;
 use crate::gateway::outage::Outages;
 use crate::gateway::port::{Change, Entry};
-use crate::gateway::update::{Cell, Content, CopyStatus, Lack};
+use crate::gateway::update::{Content, CopyStatus, KeyUpdate, Missing};
 use crate::platform::Position;
 use log::info;
 use std::collections::{BTreeSet, HashMap, HashSet, VecDeque};
@@ -23,7 +23,7 @@
     pub(super) revision: Position,
     /// Its last significant change. A server's heartbeats since then are not sent to peers: they would
     /// take some hundred bytes a second for each server of the fleet.
-    pub(super) mattered: Position,
+    pub(super) last_significant: Position,
     pub(super) content: Content,
 }
 
@@ -60,7 +60,7 @@
     pub(super) confirmed: Option<Instant>,
     pub(super) outages: Outages,
     /// The position of the first full read of the store in this era.
-    pub(super) base: Position,
+    pub(super) first_read: Position,
     /// Values that stay in effect although the store has lost them.
     pub(super) retained: HashMap<Arc<str>, Retention>,
     /// Checksums of the retained values that were fetched from peers.
@@ -87,14 +87,14 @@
     pub(super) revision: Position,
     pub(super) content: Content,
     /// The last significant change of the key, where a peer sent it.
-    pub(super) mattered: Option<Position>,
+    pub(super) last_significant: Option<Position>,
 }
 
 impl From<Change> for IncomingChange {
     fn from(change: Change) -> IncomingChange {
         let Change { key, value, revision } = change;
         let content = value.map_or(Content::Deleted, |value| Content::Value(value.into()));
-        IncomingChange { key, revision, content, mattered: None }
+        IncomingChange { key, revision, content, last_significant: None }
     }
 }
 
@@ -105,10 +105,10 @@
     }
 }
 
-impl From<Cell> for IncomingChange {
-    fn from(cell: Cell) -> IncomingChange {
-        let Cell { key, revision, mattered, content } = cell;
-        IncomingChange { key, revision, content, mattered: Some(mattered) }
+impl From<KeyUpdate> for IncomingChange {
+    fn from(cell: KeyUpdate) -> IncomingChange {
+        let KeyUpdate { key, revision, last_significant: mattered, content } = cell;
+        IncomingChange { key, revision, content, last_significant: Some(mattered) }
     }
 }
 
@@ -136,15 +136,15 @@
     pub(super) fn set_key(&mut self, key: &str, key_state: KeyState) {
         let shared = self.keys.get_key_value(key).map(|(key, _)| key.clone());
         let shared = shared.unwrap_or_else(|| key.into());
-        let (mattered, deleted) = (key_state.mattered, key_state.content.is_deleted());
+        let (mattered, deleted) = (key_state.last_significant, key_state.content.is_deleted());
         let before = self.keys.insert(shared.clone(), key_state);
         self.deleted += usize::from(deleted);
         if let Some(before) = before {
             self.deleted -= usize::from(before.content.is_deleted());
-            if before.mattered == mattered {
+            if before.last_significant == mattered {
                 return;
             }
-            self.order.remove(&(before.mattered, shared.clone()));
+            self.order.remove(&(before.last_significant, shared.clone()));
         }
         self.order.insert((mattered, shared));
     }
@@ -162,7 +162,7 @@
         self.keys.retain(|key, key_state| {
             let kept = !key_state.content.is_deleted() || key_state.revision > middle;
             if !kept {
-                order.remove(&(key_state.mattered, key.clone()));
+                order.remove(&(key_state.last_significant, key.clone()));
             }
             kept
         });
@@ -201,16 +201,16 @@
     }
 
     /// What this copy is missing according to a peer's status.
-    pub(super) fn lack(&self, statement: &CopyStatus) -> Lack {
+    pub(super) fn missing_against(&self, statement: &CopyStatus) -> Missing {
         // In another era any key may have changed.
         let begun = Position::new(statement.position.era, 0);
-        let servers = statement.servers_changed.max(begun) > self.servers();
-        match statement.changed.max(begun) {
-            changed if changed <= self.position && !servers => Lack::Nothing,
+        let servers = statement.last_server_change.max(begun) > self.servers();
+        match statement.last_change.max(begun) {
+            changed if changed <= self.position && !servers => Missing::Nothing,
             changed if changed <= self.position.max(self.small_ahead) && !servers => {
-                Lack::LargeValues
+                Missing::LargeValues
             }
-            _ => Lack::Changes,
+            _ => Missing::Changes,
         }
     }
 
@@ -228,13 +228,13 @@
     /// store lost are repeated, as after an outage. Returns whether the era is newer than the copy's.
     pub(super) fn enter_era(&mut self, position: Position, base: Position, now: Instant) -> bool {
         if self.position.is_start() {
-            self.base = base;
+            self.first_read = base;
             return false;
         }
         if position.era <= self.era() {
             return false;
         }
-        self.base = base;
+        self.first_read = base;
         self.fetched_retained.clear();
         self.era_changes
             .push_back(EraChange { from: self.deletions_known_after, to: self.position });
--- a/src/gateway/rollout/controller.rs
+++ b/src/gateway/rollout/controller.rs
@@ -189,7 +189,7 @@
                 *due = Due { step, since: now };
             }
             let is_turn = now.saturating_duration_since(due.since) >= self.turn(now);
-            if is_turn && !self.mirror.store_is_away() {
+            if is_turn && !self.mirror.is_store_unreachable() {
                 self.take(&service, step).await;
             }
         }
@@ -210,7 +210,7 @@
         }
         let since = *self.lost.get_or_insert(now);
         let is_turn = now.saturating_duration_since(since) >= self.turn(now);
-        if !is_turn || self.mirror.store_is_away() {
+        if !is_turn || self.mirror.is_store_unreachable() {
             return;
         }
         for (service, at, record) in lost {
--- a/src/gateway/roster.rs
+++ b/src/gateway/roster.rs
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub struct Listing {
     /// Unique number of this listing, to detect changes.
-    pub number: u64,
+    pub id: u64,
     /// The daemons.
     pub daemons: Vec<Daemon>,
     /// Their addresses for other daemons.
@@ -39,7 +39,7 @@
     pub fn new(daemons: Vec<Daemon>) -> Listing {
         static NUMBER: AtomicU64 = AtomicU64::new(0);
         let peers = daemons.iter().map(|d| d.peers).collect();
-        Listing { number: NUMBER.fetch_add(1, Ordering::Relaxed), daemons, peers }
+        Listing { id: NUMBER.fetch_add(1, Ordering::Relaxed), daemons, peers }
     }
 }
 
@@ -90,14 +90,14 @@
     }
 
     /// The halls of all daemons, by their address for callers.
-    pub fn halls(&self) -> HashMap<SocketAddr, String> {
+    pub fn halls_by_address(&self) -> HashMap<SocketAddr, String> {
         let listed = self.listed();
         let all = listed.values().chain([&self.own]);
         all.map(|daemon| (daemon.callers, daemon.hall.clone())).collect()
     }
 
     /// Number of other daemons that the store lists.
-    pub fn count(&self) -> usize {
+    pub fn count_others(&self) -> usize {
         self.listing().0.daemons.len()
     }
 
--- a/src/gateway/suspicion.rs
+++ b/src/gateway/suspicion.rs
@@ -100,7 +100,7 @@
     key: String,
 ) {
     while gateway.quarantine().is_unsaved(request, time::now()) {
-        if mirror.store_is_away() {
+        if mirror.is_store_unreachable() {
             sleep(CHECK_INTERVAL).await;
             continue;
         }
--- a/src/gateway/update.rs
+++ b/src/gateway/update.rs
@@ -11,20 +11,20 @@
     /// The position up to which the copy is complete.
     pub position: Position,
     /// The last significant change: one that is more than a server's heartbeat.
-    pub changed: Position,
+    pub last_change: Position,
     /// The position up to which servers' entries and the other urgent keys are complete; never below
     /// `position`.
-    pub servers: Position,
+    pub servers_position: Position,
     /// The last significant change of those keys up to `servers`.
-    pub servers_changed: Position,
+    pub last_server_change: Position,
     /// The position after which it knows every deletion: a full read of the store does not show earlier
     /// ones.
-    pub since: Position,
+    pub deletions_known_after: Position,
     /// Time since the copy was last confirmed to be current, in milliseconds.
     pub age_ms: u32,
     /// A checksum of the values that the sender retains although the store has lost them; zero if there
     /// are none.
-    pub retained: u64,
+    pub retained_checksum: u64,
 }
 
 /// A value that the store has lost and that stays in effect.
@@ -37,21 +37,21 @@
     /// The position of its write, in an earlier era.
     pub position: Position,
     /// The position of the store's change that it overrides.
-    pub over: Position,
+    pub overridden: Position,
     /// Time until it expires, in milliseconds; `None` if it lasts until the key is written.
-    pub left_ms: Option<u32>,
+    pub remaining_ms: Option<u32>,
 }
 
 /// The latest state of one key, as daemons send it to each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Cell {
+pub struct KeyUpdate {
     /// The key.
     pub key: String,
     /// The position of its last change.
     pub revision: Position,
     /// The position of its last significant change. The receiver can't derive it: a server that was
     /// deleted and came back looks unchanged to it.
-    pub mattered: Position,
+    pub last_significant: Position,
     /// Its content.
     pub content: Content,
 }
@@ -94,16 +94,16 @@
     pub complete: bool,
     /// The position of the first full read of the store in this era: later changes were written in this
     /// era.
-    pub base: Position,
+    pub first_read: Position,
     /// Keys with their latest changes.
-    pub cells: Vec<Cell>,
+    pub keys: Vec<KeyUpdate>,
     /// Values that stay in effect although the store has lost them.
     pub retained: Vec<Retained>,
 }
 
 /// What a copy is missing compared with a peer's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lack {
+pub enum Missing {
     /// No significant change.
     Nothing,
     /// Large values only.
--- a/src/gateway/view.rs
+++ b/src/gateway/view.rs
@@ -155,7 +155,7 @@
             known.into_iter().filter(|a| self.unanswered.contains_key(a) || is_silent_now(a));
         let mut silent: Vec<SocketAddr> = silent.collect();
         silent.sort_unstable();
-        let inputs = LayoutInputs { listing: listing.number, unlisted, silent };
+        let inputs = LayoutInputs { listing: listing.id, unlisted, silent };
         if self.layout_inputs.as_ref() == Some(&inputs) {
             return;
         }
--- a/tests/eras.rs
+++ b/tests/eras.rs
@@ -263,7 +263,7 @@
                 let at = self.said.len().saturating_sub(1 + usize::from(late));
                 if let Some((to, statement, sent)) = self.said.get(at).copied() {
                     let seen = sent - Duration::from_millis(statement.age_ms.into());
-                    self.nodes[to].mirror.hear(statement, seen, now);
+                    self.nodes[to].mirror.receive_status(statement, seen, now);
                 }
             }
             Act::Give(from, to, all) if from != to => {
@@ -292,7 +292,7 @@
 
     fn keep_update(&mut self, from: usize, to: usize) {
         let position = self.nodes[to].mirror.position();
-        if let Some(update) = self.nodes[from].mirror.all_after(position, self.now)
+        if let Some(update) = self.nodes[from].mirror.complete_update_after(position, self.now)
             && from != to
         {
             self.given.push((to, update, self.now));
@@ -345,7 +345,7 @@
         let open = open.filter(|(n, _)| !self.closed.contains(&(**n % 2)));
         let open: BTreeSet<String> = open.map(|(n, _)| n.to_string()).collect();
         for (n, node) in self.nodes.iter().enumerate() {
-            node.mirror.tick(later);
+            node.mirror.expire(later);
             prop_assert_eq!(node.mirror.position(), self.store.position(), "node {}", n);
             prop_assert_eq!(node.version(), self.store.last_version(), "node {}", n);
             prop_assert_eq!(node.used(), open.clone(), "node {}", n);
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -28,7 +28,7 @@
 use tidestair::gateway::roster::Daemon;
 use tidestair::gateway::servers::{Load, Observations, ServerRecord};
 use tidestair::gateway::tag::Tag;
-use tidestair::gateway::update::{Cell, Content, CopyStatus, Retained, Update};
+use tidestair::gateway::update::{Content, CopyStatus, KeyUpdate, Retained, Update};
 use tidestair::journal::Journal;
 use tidestair::member;
 use tidestair::message::{self, Item, PlaceAsk, PlaceReply, PlaceUpdate, Reply};
@@ -144,12 +144,12 @@
 fn statement() -> CopyStatus {
     CopyStatus {
         position: Position::new(1, 51),
-        changed: Position::new(2, 52),
-        servers: Position::new(3, 53),
-        servers_changed: Position::new(4, 54),
-        since: Position::new(5, 55),
+        last_change: Position::new(2, 52),
+        servers_position: Position::new(3, 53),
+        last_server_change: Position::new(4, 54),
+        deletions_known_after: Position::new(5, 55),
         age_ms: 56,
-        retained: 57,
+        retained_checksum: 57,
     }
 }
 
@@ -210,25 +210,25 @@
 fn updates_of_a_peers_copy() {
     let contents =
         [Content::Deleted, Content::Value(b"{}".as_slice().into()), Content::Server(server())];
-    let cell = |content: &Content| Cell {
+    let cell = |content: &Content| KeyUpdate {
         key: "servers/i-1".into(),
         revision: Position::new(1, 81),
-        mattered: Position::new(2, 82),
+        last_significant: Position::new(2, 82),
         content: content.clone(),
     };
     let retained = |left_ms| Retained {
         key: "op/config".into(),
         content: Content::Value(b"{}".as_slice().into()),
         position: Position::new(3, 83),
-        over: Position::new(4, 84),
-        left_ms,
+        overridden: Position::new(4, 84),
+        remaining_ms: left_ms,
     };
     let update = Update {
         copy_status: statement(),
         full: true,
         complete: false,
-        base: Position::new(5, 85),
-        cells: contents.iter().map(cell).collect(),
+        first_read: Position::new(5, 85),
+        keys: contents.iter().map(cell).collect(),
         retained: vec![retained(None), retained(Some(86))],
     };
     keeps("gateway-update.hex", &[Some(update), None]);
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 use tidestair::gateway::budget::{BudgetBounds, Others, RetryKind, SharedRetryBudget, Spent};
 use tidestair::gateway::events::Splitter;
-use tidestair::gateway::in_force::{Declared, InForce};
+use tidestair::gateway::in_force::{DeclaredConfig, InForce};
 use tidestair::gateway::servers::{Load, Observations, PeerStats, ServerRecord, Servers};
 use tidestair::gateway::table::{
     Limits, RegionList, Route, RouteKind, Service, Table, Target, Workspace,
@@ -26,13 +26,13 @@
     Position::new(0, revision)
 }
 
-fn declared(revision: u64) -> Declared {
+fn declared(revision: u64) -> DeclaredConfig {
     version_at(revision, at(revision))
 }
 
-fn version_at(version: u64, position: Position) -> Declared {
+fn version_at(version: u64, position: Position) -> DeclaredConfig {
     let table = Table::new(version, LIMITS, Vec::new(), Vec::new(), Vec::new());
-    Declared { position, table: Arc::new(table) }
+    DeclaredConfig { position, table: Arc::new(table) }
 }
 
 fn ms(n: u64) -> Duration {
@@ -42,25 +42,31 @@
 #[test]
 fn a_configuration_is_never_replaced_by_an_older_one() {
     let (in_force, now) = (InForce::default(), Instant::now());
-    assert!(in_force.take(declared(5), now));
-    assert!(!in_force.take(declared(5), now));
-    assert!(!in_force.take(declared(4), now + ms(1)));
+    assert!(in_force.set_if_newer(declared(5), now));
+    assert!(!in_force.set_if_newer(declared(5), now));
+    assert!(!in_force.set_if_newer(declared(4), now + ms(1)));
     assert_eq!(in_force.position(), at(5));
-    assert!(in_force.take(declared(6), now));
+    assert!(in_force.set_if_newer(declared(6), now));
 }
 
 /// Guards against a version that comes back with a store that lost the ones after it.
 #[test]
 fn a_store_that_goes_back_does_not_bring_an_older_version_back() {
     let (in_force, now) = (InForce::default(), Instant::now());
-    assert!(in_force.take(version_at(25, Position::new(0, 40)), now));
-    assert!(!in_force.take(version_at(22, Position::new(1, 30)), now), "older, from the copy");
-    assert!(!in_force.take(version_at(24, Position::new(1, 41)), now), "written again in order");
-    assert!(in_force.take(version_at(25, Position::new(1, 42)), now), "written again");
-    assert!(!in_force.take(version_at(25, Position::new(0, 90)), now), "of an earlier era");
-    assert!(in_force.take(version_at(27, Position::new(1, 43)), now));
-    assert!(in_force.take(version_at(30, Position::new(0, 90)), now), "kept by a peer");
-    assert!(!in_force.take(version_at(29, Position::new(1, 44)), now));
+    assert!(in_force.set_if_newer(version_at(25, Position::new(0, 40)), now));
+    assert!(
+        !in_force.set_if_newer(version_at(22, Position::new(1, 30)), now),
+        "older, from the copy"
+    );
+    assert!(
+        !in_force.set_if_newer(version_at(24, Position::new(1, 41)), now),
+        "written again in order"
+    );
+    assert!(in_force.set_if_newer(version_at(25, Position::new(1, 42)), now), "written again");
+    assert!(!in_force.set_if_newer(version_at(25, Position::new(0, 90)), now), "of an earlier era");
+    assert!(in_force.set_if_newer(version_at(27, Position::new(1, 43)), now));
+    assert!(in_force.set_if_newer(version_at(30, Position::new(0, 90)), now), "kept by a peer");
+    assert!(!in_force.set_if_newer(version_at(29, Position::new(1, 44)), now));
     assert_eq!(in_force.position(), Position::new(0, 90));
 }
 
@@ -70,7 +76,7 @@
     assert_eq!(in_force.age(start), None);
     in_force.confirm(at(0), start);
     assert_eq!(in_force.age(start), None, "nothing is in force");
-    in_force.take(declared(5), start);
+    in_force.set_if_newer(declared(5), start);
     in_force.confirm(at(4), start + ms(500));
     assert_eq!(in_force.age(start + ms(700)), Some(ms(700)));
     in_force.confirm(at(5), start + ms(500));
--- a/tests/mirror.rs
+++ b/tests/mirror.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use tidestair::gateway::mirror::Mirror;
 use tidestair::gateway::port::{Change, Entry};
-use tidestair::gateway::update::{CopyStatus, Lack};
+use tidestair::gateway::update::{CopyStatus, Missing};
 use tidestair::message;
 use tidestair::platform::Position;
 
@@ -21,14 +21,14 @@
     let age_ms = age.as_millis() as u32;
     let statement = CopyStatus {
         position,
-        changed: position,
-        servers: position,
-        servers_changed: position,
-        since: Position::START,
+        last_change: position,
+        servers_position: position,
+        last_server_change: position,
+        deletions_known_after: Position::START,
         age_ms,
-        retained: 0,
+        retained_checksum: 0,
     };
-    node.mirror.hear(statement, now - age, now);
+    node.mirror.receive_status(statement, now - age, now);
 }
 
 /// The servers that acts write.
@@ -136,7 +136,8 @@
         return;
     }
     let newer = truth.changes.iter().filter(|c| c.revision > after);
-    let urgent = |c: &&Change| mirror.urgent().iter().any(|prefix| c.key.starts_with(prefix));
+    let urgent =
+        |c: &&Change| mirror.urgent_prefixes().iter().any(|prefix| c.key.starts_with(prefix));
     let newer = newer.filter(urgent).cloned();
     mirror.advance_urgent(newer.collect(), truth.position(), now, now);
 }
@@ -314,7 +315,7 @@
                     let at = said[to].len().saturating_sub(1 + usize::from(late));
                     if let Some((statement, seen)) = said[to].get(at).copied() {
                         let age = Duration::from_millis(statement.age_ms.into());
-                        nodes[to].mirror.hear(statement, seen - age, now);
+                        nodes[to].mirror.receive_status(statement, seen - age, now);
                     }
                 }
                 Act::Give(from, to, all) => nodes[from].give(&nodes[to], all, now),
@@ -358,7 +359,7 @@
                 }
                 Act::Tell(from, to, _) => {
                     if let Some(statement) = nodes[from].mirror.copy_status(now) {
-                        nodes[to].mirror.hear(statement, now, now);
+                        nodes[to].mirror.receive_status(statement, now, now);
                         ahead[to] = ahead[to].max(ahead[from]);
                     }
                 }
@@ -371,7 +372,7 @@
             }
         }
         for (node, ahead) in nodes.iter().zip(ahead) {
-            node.mirror.tick(now + Duration::from_secs(10));
+            node.mirror.expire(now + Duration::from_secs(10));
             let position = node.mirror.position();
             let servers = node.mirror.urgent_position();
             let had = |id: &String| {
@@ -439,7 +440,7 @@
         nodes[0].mirror.replace(truth.entries(), truth.position(), now, now);
         nodes[0].give(&nodes[1], true, now);
         for node in &nodes {
-            node.mirror.tick(now + Duration::from_secs(5));
+            node.mirror.expire(now + Duration::from_secs(5));
             prop_assert_eq!(node.servers(), truth.servers_at(truth.position()));
         }
     }
@@ -510,7 +511,7 @@
     let late = back + Duration::from_millis(1_500);
     giver.give(&taker, true, late);
     for node in [&giver, &taker] {
-        node.mirror.tick(late);
+        node.mirror.expire(late);
         assert!(node.takes_work("1") && node.takes_work("2"), "both may come back");
     }
     truth.take(&Act::Server(2, false), late);
@@ -518,7 +519,7 @@
     giver.give(&taker, true, late);
     let over = back + Duration::from_secs(2);
     for node in [&giver, &taker] {
-        node.mirror.tick(over);
+        node.mirror.expire(over);
         assert!(!node.takes_work("1"), "it did not come back within two seconds of the store");
         assert!(node.takes_work("2"), "it came back");
     }
@@ -535,7 +536,7 @@
     truth.take(&Act::Server(1, true), now);
     truth.take(&Act::Remove(2), now);
     read(&giver.mirror, &truth, now);
-    let first = giver.mirror.update_after(taker.mirror.position(), now).expect("it has read");
+    let first = giver.mirror.small_update_after(taker.mirror.position(), now).expect("it has read");
     let bytes = message::encode(&first).len();
     assert!(bytes < SMALL, "the first message has {bytes} bytes");
     taker.mirror.apply(first, now, now);
@@ -554,14 +555,18 @@
     giver.give(&taker, false, now);
     let ahead = taker.mirror.copy_status(now).expect("it has read");
     assert_eq!(
-        (ahead.position, ahead.servers),
+        (ahead.position, ahead.servers_position),
         (at(3), at(5)),
         "it vouches for no more than it holds"
     );
-    assert_eq!(other.mirror.hear(ahead, now, now), Lack::Changes, "a server's leaving is told on");
+    assert_eq!(
+        other.mirror.receive_status(ahead, now, now),
+        Missing::Changes,
+        "a server's leaving is told on"
+    );
     giver.give(&taker, true, now);
     let whole = taker.mirror.copy_status(now).expect("it has read");
-    assert_eq!(other.mirror.hear(whole, now, now), Lack::Changes);
+    assert_eq!(other.mirror.receive_status(whole, now, now), Missing::Changes);
     taker.give(&other, false, now);
     assert!(!other.takes_work("1"));
 }
@@ -574,12 +579,12 @@
     truth.take(&Act::Remove(1), now);
     read(&giver.mirror, &truth, now);
     let statement = giver.mirror.copy_status(now).expect("it has read");
-    assert_eq!(taker.mirror.hear(statement, now, now), Lack::Changes);
+    assert_eq!(taker.mirror.receive_status(statement, now, now), Missing::Changes);
     giver.give(&taker, false, now);
-    assert_eq!(taker.mirror.hear(statement, now, now), Lack::LargeValues);
+    assert_eq!(taker.mirror.receive_status(statement, now, now), Missing::LargeValues);
     assert_eq!(taker.gateway.in_force.position(), at(1), "the configuration is not in force yet");
     giver.give(&taker, true, now);
-    assert_eq!(taker.mirror.hear(statement, now, now), Lack::Nothing);
+    assert_eq!(taker.mirror.receive_status(statement, now, now), Missing::Nothing);
     assert_eq!(taker.gateway.in_force.position(), at(4));
 }
 
@@ -593,14 +598,14 @@
     assert!(!reader.takes_work("1"));
     let statement = reader.mirror.copy_status(now).expect("it has read");
     assert_eq!(
-        (statement.position, statement.changed),
+        (statement.position, statement.last_change),
         (at(3), at(3)),
         "the configuration is lacking"
     );
-    assert_eq!(taker.mirror.hear(statement, now, now), Lack::Changes);
+    assert_eq!(taker.mirror.receive_status(statement, now, now), Missing::Changes);
     reader.give(&taker, false, now);
     assert!(!taker.takes_work("1"));
-    assert_eq!(taker.mirror.hear(statement, now, now), Lack::Nothing);
+    assert_eq!(taker.mirror.receive_status(statement, now, now), Missing::Nothing);
 }
 
 #[test]
@@ -620,7 +625,7 @@
     // The teller knows of two deletions and of nothing between them.
     giver.give(&teller, false, now);
     let statement = teller.mirror.copy_status(now).expect("it has read");
-    assert_eq!(hearer.mirror.hear(statement, now, now), Lack::Changes);
+    assert_eq!(hearer.mirror.receive_status(statement, now, now), Missing::Changes);
 }
 
 /// Found by the random interleavings above: a node that was given everything took a server that had gone and
--- a/tests/mirror/stand_ins.rs
+++ b/tests/mirror/stand_ins.rs
@@ -204,9 +204,9 @@
             to.mirror.apply(update, now - Duration::from_millis(age.into()), now);
             Some(complete)
         };
-        let complete = taken(self.mirror.update_after(to.mirror.position(), now));
+        let complete = taken(self.mirror.small_update_after(to.mirror.position(), now));
         if all && complete == Some(false) {
-            taken(self.mirror.all_after(to.mirror.position(), now));
+            taken(self.mirror.complete_update_after(to.mirror.position(), now));
         }
     }
 }
--- a/tests/restored.rs
+++ b/tests/restored.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use tidestair::gateway::fingerprint::Fingerprint;
 use tidestair::gateway::port::{Change, Entry};
-use tidestair::gateway::update::Lack;
+use tidestair::gateway::update::Missing;
 use tidestair::message;
 use tidestair::platform::Position;
 
@@ -113,9 +113,9 @@
     store.read(&node, now);
     store.restore(&copy);
     store.read(&node, now);
-    node.mirror.tick(now + secs(29));
+    node.mirror.expire(now + secs(29));
     assert!(!node.may_use("1"));
-    node.mirror.tick(now + secs(31));
+    node.mirror.expire(now + secs(31));
     assert!(node.may_use("1"), "the order may have been withdrawn before anybody read of it");
 }
 
@@ -200,7 +200,7 @@
     assert!(node.takes_work("3") && node.takes_work("4"));
     store.put("servers/3", "ready@1");
     store.read(&node, now + secs(1));
-    node.mirror.tick(now + secs(2));
+    node.mirror.expire(now + secs(2));
     assert!(node.takes_work("3") && !node.takes_work("4"));
 }
 
@@ -221,11 +221,11 @@
     store.read(&new, now);
     assert_eq!(new.version(), 7, "alone it can't know");
     let statement = old.mirror.copy_status(now).expect("it has read");
-    assert_eq!(new.mirror.hear(statement, now, now), Lack::Changes);
+    assert_eq!(new.mirror.receive_status(statement, now, now), Missing::Changes);
     old.give(&new, true, now);
     assert_eq!(new.version(), 12);
     assert!(!new.may_use("1") && !new.may_use("2"));
-    assert_eq!(new.mirror.hear(statement, now, now), Lack::Nothing, "it asks once");
+    assert_eq!(new.mirror.receive_status(statement, now, now), Missing::Nothing, "it asks once");
     store.put("config", "12");
     store.put("config", "13");
     store.read(&new, now);
@@ -268,11 +268,15 @@
     let later = now + secs(3);
     lost.read(&behind, later);
     let statement = |node: &Node| node.mirror.copy_status(later).expect("it has read");
-    assert_eq!(ahead.mirror.hear(statement(&behind), later, later), Lack::Nothing);
+    assert_eq!(ahead.mirror.receive_status(statement(&behind), later, later), Missing::Nothing);
     assert_eq!(ahead.gateway.in_force.age(later), Some(secs(3)), "not confirmed");
     behind.give(&ahead, true, later);
     assert_eq!(ahead.gateway.in_force.age(later), Some(secs(3)), "nor by what it gives");
-    assert_eq!(behind.mirror.hear(statement(&ahead), later, later), Lack::Changes, "at once");
+    assert_eq!(
+        behind.mirror.receive_status(statement(&ahead), later, later),
+        Missing::Changes,
+        "at once"
+    );
     assert_eq!(behind.version(), 7);
     ahead.give(&behind, true, later);
     assert_eq!((behind.mirror.position(), behind.version()), (store.at, 9));
@@ -348,7 +352,8 @@
             store.put(&format!("servers/{n}"), "leaving@1");
         }
         store.read(&reader, now);
-        let update = reader.mirror.update_after(peer.mirror.position(), now).expect("it has read");
+        let update =
+            reader.mirror.small_update_after(peer.mirror.position(), now).expect("it has read");
         assert!(!update.full && update.complete);
         given.push(message::encode(&update).len());
         peer.mirror.apply(update, now, now);
@@ -368,13 +373,13 @@
     store.restore(&store.clone());
     store.read(&reader, now);
     let statement = reader.mirror.copy_status(now).expect("it has read");
-    assert_eq!(peer.mirror.hear(statement, now, now), Lack::Changes);
+    assert_eq!(peer.mirror.receive_status(statement, now, now), Missing::Changes);
     reader.give(&peer, true, now);
     assert_eq!(peer.mirror.position(), store.at);
     let later = now + secs(1);
     store.read(&reader, later);
     let statement = reader.mirror.copy_status(later).expect("it has read");
-    assert_eq!(peer.mirror.hear(statement, later, later), Lack::Nothing);
+    assert_eq!(peer.mirror.receive_status(statement, later, later), Missing::Nothing);
     assert_eq!(peer.gateway.in_force.age(later), Some(Duration::ZERO), "confirmed");
 }
 
@@ -389,7 +394,8 @@
     store.read(&peer, now);
     store.restore(&copy);
     store.read(&reader, now);
-    let update = reader.mirror.all_after(peer.mirror.position(), now).expect("it has read");
+    let update =
+        reader.mirror.complete_update_after(peer.mirror.position(), now).expect("it has read");
     assert!(update.full);
     peer.mirror.apply(update, now, now);
     assert_eq!(peer.mirror.position(), store.at);
@@ -414,12 +420,13 @@
     }
     store.put("servers/1", "leaving@1");
     store.read(&reader, now);
-    let update = reader.mirror.update_after(peer.mirror.position(), now).expect("it has read");
+    let update =
+        reader.mirror.small_update_after(peer.mirror.position(), now).expect("it has read");
     assert!(!update.full);
     peer.mirror.apply(update, now, now);
     // The reader waits for a server that the peer never knew.
     let later = now + secs(2);
-    [&reader, &peer].into_iter().for_each(|node| node.mirror.tick(later));
+    [&reader, &peer].into_iter().for_each(|node| node.mirror.expire(later));
     assert_eq!((peer.mirror.position(), peer.used()), (store.at, reader.used()));
     assert_eq!(peer.used().into_iter().collect::<Vec<_>>(), ["2"]);
 }
