--- a/src/gateway/cluster.rs
+++ b/src/gateway/cluster.rs
@@ -426,16 +426,16 @@
             return;
         };
         let confirmed_at = sent.and_then(|sent| minus_millis(sent, copy_status.age_ms));
-        let lack = match confirmed_at {
+        let missing = match confirmed_at {
             Some(confirmed_at) => self.mirror.receive_status(copy_status, confirmed_at, now),
             None => self.mirror.missing_against(&copy_status),
         };
-        if lack == Missing::Nothing {
+        if missing == Missing::Nothing {
             return;
         }
         self.behind_since.lock().expect("no holder panics").get_or_insert(now);
         if !self.fetching.swap(true, Ordering::AcqRel) {
-            tokio::spawn(self.clone().fetch(from, lack));
+            tokio::spawn(self.clone().fetch(from, missing));
         }
     }
 
@@ -453,8 +453,8 @@
     /// Fetches the missing changes from a peer: first the small values, then the large ones. The
     /// large ones are left out while this daemon reads the store itself, because both transfers
     /// would slow each other down on a narrow link.
-    async fn fetch(self: Arc<Self>, from: SocketAddr, lack: Missing) {
-        let complete = match lack {
+    async fn fetch(self: Arc<Self>, from: SocketAddr, missing: Missing) {
+        let complete = match missing {
             Missing::Changes => {
                 self.fetch_from(from, Request::SmallAfter(self.mirror.position())).await
             }
--- a/src/gateway/in_force.rs
+++ b/src/gateway/in_force.rs
@@ -60,12 +60,12 @@
     /// one. Returns whether it came into force.
     pub fn set_if_newer(&self, declared: DeclaredConfig, as_of: Instant) -> bool {
         let mut confirmed = self.confirmed.lock().expect("no holder panics");
-        let newer = self.get().is_none_or(|known| declared.is_newer(&known));
-        if newer {
+        let is_newer = self.get().is_none_or(|known| declared.is_newer(&known));
+        if is_newer {
             *confirmed = Some(as_of);
             self.declared.store(Some(Arc::new(declared)));
         }
-        newer
+        is_newer
     }
 
     /// Records that the version at `position` was the newest at `as_of`; ignored unless that version is
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -61,17 +61,17 @@
         self.state().position
     }
 
-    /// The status of this copy, for peers; `None` before the first confirmation.
+    /// The status of this copy, which is sent to peers; `None` before the first confirmation.
     pub fn copy_status(&self, now: Instant) -> Option<CopyStatus> {
         let state = self.state();
         let age_ms = clock::millis_between(state.confirmed?, now);
-        let servers = state.servers();
+        let urgent_position = state.urgent_position();
         Some(CopyStatus {
             position: state.position,
             last_change: state.last_change(),
-            servers_position: servers,
+            servers_position: urgent_position,
             // Changes beyond that position may be incomplete.
-            last_server_change: state.server_change.min(servers),
+            last_server_change: state.last_urgent_change.min(urgent_position),
             deletions_known_after: state.deletions_known_after,
             age_ms,
             retained_checksum: state.retained_checksum(),
@@ -125,10 +125,11 @@
             // A key written since may have been deleted in between even if its value is the same: peers
             // that applied the deletion need the key again. Peers that know more of the previous era
             // than this copy get all keys.
-            let mattered = (!is_new_era && incoming.revision > before).then_some(incoming.revision);
+            let last_significant =
+                (!is_new_era && incoming.revision > before).then_some(incoming.revision);
             self.apply_change(
                 &mut state,
-                IncomingChange { last_significant: mattered, ..incoming },
+                IncomingChange { last_significant, ..incoming },
                 as_of,
                 now,
             );
@@ -146,6 +147,7 @@
         );
     }
 
+    /// Applies all changes up to `position`; the store had this state at `as_of`.
     fn apply_all(
         &self,
         incoming: Vec<IncomingChange>,
@@ -173,8 +175,8 @@
             let is_unconfirmed = state.confirmed.is_none() || state.age(now) > FULL_FETCH_AFTER;
             return if is_unconfirmed { Missing::Changes } else { Missing::Nothing };
         }
-        let lack = state.missing_against(&copy_status);
-        if lack == Missing::Nothing {
+        let missing = state.missing_against(&copy_status);
+        if missing == Missing::Nothing {
             // A value retained by the peer may be newer than the one in effect here.
             let known = [0, state.retained_checksum()];
             if !known.contains(&copy_status.retained_checksum)
@@ -182,12 +184,12 @@
             {
                 return Missing::Changes;
             }
-            state.servers = state.servers.max(copy_status.servers_position);
+            state.urgent_ahead = state.urgent_ahead.max(copy_status.servers_position);
             if copy_status.position >= state.position {
                 self.confirm(&mut state, copy_status.position, as_of, now);
             }
         }
-        lack
+        missing
     }
 
     /// What this copy is missing according to a peer's status of unknown age.
@@ -229,24 +231,24 @@
     fn update(&self, after: Position, max_bytes: usize, now: Instant) -> Option<Update> {
         let copy_status = self.copy_status(now)?;
         let state = self.state();
-        let whole = !state.can_update_from(after);
+        let full = !state.can_update_from(after);
         // Split before any value is cloned: a large one may take a megabyte.
-        let is_given =
+        let is_included =
             |(_, key_state): &(&Arc<str>, &KeyState)| key_state.content.bytes() <= max_bytes;
-        let (given, left): (Vec<_>, Vec<_>) = match whole {
-            true => state.keys.iter().partition(is_given),
-            false => state.changed_after(after).partition(is_given),
+        let (included, omitted): (Vec<_>, Vec<_>) = match full {
+            true => state.keys.iter().partition(is_included),
+            false => state.changed_after(after).partition(is_included),
         };
-        let cell = |(key, key_state): (&Arc<str>, &KeyState)| KeyUpdate {
+        let key_update = |(key, key_state): (&Arc<str>, &KeyState)| KeyUpdate {
             key: key.to_string(),
             revision: key_state.revision,
             last_significant: key_state.last_significant,
             content: key_state.content.clone(),
         };
-        let cells = given.into_iter().map(cell).collect();
+        let keys = included.into_iter().map(key_update).collect();
         let (retained, all_retained) = state.retained_for_peer(max_bytes, now);
-        let (base, complete) = (state.first_read, left.is_empty() && all_retained);
-        Some(Update { copy_status, full: whole, complete, first_read: base, keys: cells, retained })
+        let (first_read, complete) = (state.first_read, omitted.is_empty() && all_retained);
+        Some(Update { copy_status, full, complete, first_read, keys, retained })
     }
 
     /// Applies an update from a peer that was true at `as_of` or later.
@@ -262,7 +264,7 @@
         };
         match update.full && update.complete {
             true => {
-                let live = update.keys.into_iter().filter(|cell| !cell.content.is_deleted());
+                let live = update.keys.into_iter().filter(|key| !key.content.is_deleted());
                 self.replace_all(
                     live.map(IncomingChange::from).collect(),
                     position,
@@ -281,11 +283,10 @@
 
     /// Applies an update that does not hold all keys.
     fn apply_changes(&self, update: Update, is_new_era: bool, as_of: Instant, now: Instant) {
-        let CopyStatus {
-            position, servers_position: servers, deletions_known_after: since, ..
-        } = update.copy_status;
+        let CopyStatus { position, servers_position, deletions_known_after, .. } =
+            update.copy_status;
         if is_new_era && !update.full {
-            self.state().deletions_known_after = since;
+            self.state().deletions_known_after = deletions_known_after;
         }
         let mut incoming: Vec<IncomingChange> =
             update.keys.into_iter().map(IncomingChange::from).collect();
@@ -297,12 +298,12 @@
         }
         let mut state = self.state();
         if is_behind_era && update.complete {
-            state.restamp_keys(since);
+            state.restamp_keys(deletions_known_after);
         }
         self.adopt(&mut state, update.retained, now);
         if !update.full {
             state.small_ahead = state.small_ahead.max(position);
-            state.servers = state.servers.max(servers);
+            state.urgent_ahead = state.urgent_ahead.max(servers_position);
         }
     }
 
@@ -317,12 +318,12 @@
     ) {
         self.apply_ahead(changes.into_iter().map(IncomingChange::from).collect(), as_of, now);
         let mut state = self.state();
-        state.servers = state.servers.max(position);
+        state.urgent_ahead = state.urgent_ahead.max(position);
     }
 
     /// The position up to which the urgent keys are complete.
     pub fn urgent_position(&self) -> Position {
-        self.state().servers()
+        self.state().urgent_position()
     }
 
     /// The prefixes of the urgent keys, which are read separately from large values: servers' entries,
@@ -331,6 +332,7 @@
         [self.schema.servers(), self.schema.closed_halls(), self.schema.rollouts()]
     }
 
+    /// Applies changes without advancing the copy's position.
     fn apply_ahead(&self, incoming: Vec<IncomingChange>, as_of: Instant, now: Instant) {
         let mut state = self.state();
         for incoming in incoming {
@@ -339,12 +341,12 @@
         state.server_changes.log();
     }
 
-    /// Applies some keys before all have been read.
+    /// Applies the keys read so far, before all of them have been read; doesn't confirm the copy.
     pub fn apply_early(&self, entries: Vec<Entry>, as_of: Instant, now: Instant) {
         self.apply_ahead(entries.into_iter().map(IncomingChange::from).collect(), as_of, now);
     }
 
-    /// Whether the store has a key, as far as known.
+    /// Whether the store has a key, as far as this copy knows.
     pub fn lists(&self, key: &str) -> bool {
         self.state().keys.get(key).is_some_and(|key_state| !key_state.content.is_deleted())
     }
@@ -354,7 +356,8 @@
         format!("{}{hall}/", self.schema.daemons())
     }
 
-    /// Removes servers whose entries were not written again in time, and expires retained values.
+    /// Removes servers whose entries lapsed and were not written again in time, and ends expired
+    /// retentions.
     pub fn expire(&self, now: Instant) {
         let mut state = self.state();
         self.expire_retained(&mut state, now);
@@ -376,31 +379,33 @@
         &self,
         state: &mut State,
         position: Position,
-        base: Position,
+        first_read: Position,
         now: Instant,
     ) -> bool {
-        let is_new_era = state.enter_era(position, base, now);
+        let is_new_era = state.enter_era(position, first_read, now);
         if is_new_era {
             self.gateway.set_era(position.era);
         }
         is_new_era
     }
 
+    /// Records that the copy is complete up to `position`, where the store was at `as_of`.
     fn confirm(&self, state: &mut State, position: Position, as_of: Instant, now: Instant) {
         self.gateway.metrics.store_era.set(state.position.era.max(position.era) as i64);
         state.position = state.position.max(position);
         let late = state.age(now);
         state.confirmed = state.confirmed.max(Some(as_of));
         if state.age(now) <= LATE_CONFIRMATION {
-            let unheard = state.outages.take_longest_gap();
+            let longest_gap = state.outages.take_longest_gap();
             if late > LATE_CONFIRMATION {
-                let (late, unheard) = (millis(late), millis(unheard));
-                info!(late_ms = late, unheard_ms = unheard; "copy of the store is current again");
+                let (late, longest_gap) = (millis(late), millis(longest_gap));
+                info!(late_ms = late, unheard_ms = longest_gap; "copy of the store is current again");
             }
         }
         self.gateway.in_force.confirm(self.gateway.in_force.position(), as_of);
     }
 
+    /// Applies one change, unless the copy has it or a later one of its key.
     fn apply_change(
         &self,
         state: &mut State,
@@ -408,7 +413,7 @@
         as_of: Instant,
         now: Instant,
     ) {
-        let IncomingChange { key, revision, content, last_significant: mattered } = incoming;
+        let IncomingChange { key, revision, content, last_significant } = incoming;
         if !self.is_mirrored(&key) {
             return;
         }
@@ -432,42 +437,39 @@
             (Content::Value(_), Content::Value(_)) if is_server => false,
             (before, after) => before != after,
         });
-        // The next record is written on condition that this one's revision is unchanged.
+        // The next record is written on condition that this one's revision is unchanged: a new revision
+        // counts as a change even if the content is the same.
         let is_record = key.starts_with(self.schema.rollout_records());
         let is_new = is_new || (is_of_later_era && is_record);
-        let kept = state.retained.get(&*key);
+        let retention = state.retained.get(&*key);
         let lost = self.lost_value(state, &key, known, revision, &content, now);
-        let last = known.map_or(Position::START, |key_state| key_state.last_significant);
-        let mattered = match mattered {
-            // From a peer that kept its copy across a restore, with the position that the change had
-            // before.
-            Some(mattered) if is_new && mattered <= last => revision,
-            Some(mattered) => mattered.max(last),
-            None if is_new || (kept.is_some() && lost.is_none()) => revision,
-            None => last,
+        let previous = known.map_or(Position::START, |key_state| key_state.last_significant);
+        let last_significant = match last_significant {
+            // A peer that kept its copy across a restore sends the position that the change had before.
+            Some(last_significant) if is_new && last_significant <= previous => revision,
+            Some(last_significant) => last_significant.max(previous),
+            None if is_new || (retention.is_some() && lost.is_none()) => revision,
+            None => previous,
         };
-        let matters = is_new || mattered > last;
-        state.set_key(
-            &key,
-            KeyState { revision, last_significant: mattered, content: content.clone() },
-        );
-        let stays = lost.is_some();
+        let is_significant = is_new || last_significant > previous;
+        state.set_key(&key, KeyState { revision, last_significant, content: content.clone() });
+        let is_overridden = lost.is_some();
         match lost {
-            Some(kept) => self.retain(state, &key, kept, now),
+            Some(retention) => self.retain(state, &key, retention, now),
             None => drop(state.retained.remove(&*key)),
         }
-        if !matters {
+        if !is_significant {
             return;
         }
         state.changed_in_era += 1;
         if self.is_urgent(&key) {
-            state.server_change = state.server_change.max(mattered);
+            state.last_urgent_change = state.last_urgent_change.max(last_significant);
         }
-        match mattered > state.position {
-            true => state.last_change_ahead = state.last_change_ahead.max(mattered),
-            false => state.changed = state.changed.max(mattered),
+        match last_significant > state.position {
+            true => state.last_change_ahead = state.last_change_ahead.max(last_significant),
+            false => state.last_change_within = state.last_change_within.max(last_significant),
         }
-        if !stays {
+        if !is_overridden {
             self.activate(state, &key, revision, &content, as_of, now);
         }
         state.forget_deleted();
@@ -485,28 +487,29 @@
         content: &Content,
         now: Instant,
     ) -> Option<Retention> {
-        let kept = state.retained.get(key);
+        let retention = state.retained.get(key);
         let is_of_later_era = known.is_some_and(|known| known.is_before(revision.era));
-        // Lost versions of the configuration may be written again one by one.
+        // Lost versions of the configuration may be written again one by one, after the first read.
         let is_read = revision <= state.first_read || key == self.schema.declaration();
-        if !is_read || !(is_of_later_era || kept.is_some()) {
+        if !is_read || !(is_of_later_era || retention.is_some()) {
             return None;
         }
-        let (stands, position) = match (kept, known) {
-            (Some(kept), _) => (&kept.content, kept.position),
+        let (in_effect, position) = match (retention, known) {
+            (Some(retention), _) => (&retention.content, retention.position),
             (None, Some(known)) => (&known.content, known.revision),
             (None, None) => return None,
         };
-        let until = kept.map_or_else(|| self.retained_until(key, now), |kept| kept.until);
-        let is_lost = self.is_lost(key, stands, content);
+        let until = retention.map_or_else(|| self.retained_until(key, now), |r| r.until);
+        let is_lost = self.is_lost(key, in_effect, content);
         is_lost.then(|| Retention {
-            content: stands.clone(),
+            content: in_effect.clone(),
             position,
             overridden: revision,
             until,
         })
     }
 
+    /// Whether the copy includes a key.
     fn is_mirrored(&self, key: &str) -> bool {
         let schema = &self.schema;
         let prefixes =
--- a/src/gateway/mirror/activate.rs
+++ b/src/gateway/mirror/activate.rs
@@ -27,7 +27,7 @@
         match content {
             Content::Server(record) => self.update_server(state, key, record.clone(), now),
             Content::Deleted if is_server => self.on_server_deleted(state, key, now),
-            Content::Value(value) if is_server => self.hide_server(state, key, value),
+            Content::Value(value) if is_server => self.exclude_server(state, key, value),
             Content::Deleted => self.put_in_force(key, revision, None, as_of, now),
             Content::Value(value) => {
                 self.put_in_force(key, revision, Some(value.clone()), as_of, now);
@@ -116,7 +116,7 @@
     }
 
     /// Excludes a server whose entry can't be parsed.
-    fn hide_server(&self, state: &mut State, key: &str, value: &[u8]) {
+    fn exclude_server(&self, state: &mut State, key: &str, value: &[u8]) {
         state.lapsed.remove(key);
         let why = self.schema.server(key, value).err().map_or_else(String::new, |e| e.0);
         warn!(key = key, why = why.as_str(); "cannot parse backend server's entry: server not used");
@@ -124,7 +124,7 @@
     }
 
     fn on_server_deleted(&self, state: &mut State, key: &str, now: Instant) {
-        let until = state.outages.last_recovery().map(|returned| returned + LAPSED_GRACE);
+        let until = state.outages.last_recovery().map(|recovered| recovered + LAPSED_GRACE);
         match until.filter(|until| now < *until) {
             Some(until) => {
                 state.lapsed.insert(key.to_string(), until);
--- a/src/gateway/mirror/retained.rs
+++ b/src/gateway/mirror/retained.rs
@@ -14,8 +14,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a value that operators or a daemon wrote is retained. They repeat the write within seconds,
-/// unless they had withdrawn the value before any daemon read of that.
+/// How long a value that operators or a daemon wrote is retained. They repeat the write within seconds;
+/// a value that is not repeated was withdrawn before any daemon read of the withdrawal.
 const REWRITE_TIME: Duration = Duration::from_secs(30);
 
 /// How long a deleted server stays deleted although the store lists it. An entry that only the restore
@@ -39,11 +39,11 @@
 impl State {
     /// A checksum of the retained values; zero where there are none.
     pub(super) fn retained_checksum(&self) -> u64 {
-        let mark = |(key, kept): (&Arc<str>, &Retention)| {
-            let at = Tag::of(key).combined_with(Tag::of_number(kept.position.era));
-            at.combined_with(Tag::of_number(kept.position.revision)).value()
+        let checksum = |(key, retention): (&Arc<str>, &Retention)| {
+            let tag = Tag::of(key).combined_with(Tag::of_number(retention.position.era));
+            tag.combined_with(Tag::of_number(retention.position.revision)).value()
         };
-        self.retained.iter().map(mark).fold(0, |all, one| all ^ one)
+        self.retained.iter().map(checksum).fold(0, |all, one| all ^ one)
     }
 
     /// The retained values of up to `max_bytes` bytes, for a peer, and whether these are all.
@@ -52,25 +52,26 @@
         max_bytes: usize,
         now: Instant,
     ) -> (Vec<Retained>, bool) {
-        let left = |until: Instant| until.saturating_duration_since(now).as_millis() as u32;
-        let given = self.retained.iter().filter(|(_, kept)| kept.content.bytes() <= max_bytes);
-        let given = given.map(|(key, kept)| Retained {
+        let remaining = |until: Instant| until.saturating_duration_since(now).as_millis() as u32;
+        let included =
+            self.retained.iter().filter(|(_, retention)| retention.content.bytes() <= max_bytes);
+        let included = included.map(|(key, retention)| Retained {
             key: key.to_string(),
-            content: kept.content.clone(),
-            position: kept.position,
-            overridden: kept.overridden,
-            remaining_ms: kept.until.map(left),
+            content: retention.content.clone(),
+            position: retention.position,
+            overridden: retention.overridden,
+            remaining_ms: retention.until.map(remaining),
         });
-        let given: Vec<Retained> = given.collect();
-        let all = given.len() == self.retained.len();
-        (given, all)
+        let included: Vec<Retained> = included.collect();
+        let is_complete = included.len() == self.retained.len();
+        (included, is_complete)
     }
 }
 
 impl Mirror {
     /// Whether the store's value, though of a later era, is older than the value in effect.
-    pub(super) fn is_lost(&self, key: &str, stands: &Content, content: &Content) -> bool {
-        if stands == content {
+    pub(super) fn is_lost(&self, key: &str, in_effect: &Content, content: &Content) -> bool {
+        if in_effect == content {
             return false;
         }
         if key == self.schema.declaration() {
@@ -79,10 +80,10 @@
         if !key.starts_with(self.schema.servers()) {
             return true;
         }
-        match (stands, content) {
+        match (in_effect, content) {
             (Content::Deleted, Content::Server(_)) => true,
-            (Content::Server(stands), Content::Server(other)) => {
-                other.started_ms < stands.started_ms
+            (Content::Server(in_effect), Content::Server(stored)) => {
+                stored.started_ms < in_effect.started_ms
             }
             // Live servers soon write their entries again; until then they are kept as lapsed.
             _ => false,
@@ -104,25 +105,25 @@
     }
 
     /// Retains a value in place of a change read from the store.
-    pub(super) fn retain(&self, state: &mut State, key: &str, kept: Retention, now: Instant) {
+    pub(super) fn retain(&self, state: &mut State, key: &str, retention: Retention, now: Instant) {
         if let Some(service) = key.strip_prefix(self.schema.rollout_records()) {
-            self.lose_record(state, key, service, &kept.content, now);
+            self.rewrite_lost_record(state, key, service, &retention.content, now);
         }
         if state.retained.contains_key(key) {
-            state.retained.insert(key.into(), kept);
+            state.retained.insert(key.into(), retention);
             return;
         }
-        info!(key = key, over = kept.overridden.revision; "the store has lost a value: retaining it");
+        info!(key = key, over = retention.overridden.revision; "the store has lost a value: retaining it");
         let request = key.strip_prefix(self.schema.quarantine()).and_then(Fingerprint::parse);
-        if let Some(request) = request.filter(|_| !kept.content.is_deleted()) {
+        if let Some(request) = request.filter(|_| !retention.content.is_deleted()) {
             self.gateway.quarantine().mark_lost(request, now);
             self.gateway.quarantine_changed.notify_one();
         }
-        state.retained.insert(key.into(), kept);
+        state.retained.insert(key.into(), retention);
     }
 
     /// Has the record of a roll-out written again.
-    fn lose_record(
+    fn rewrite_lost_record(
         &self,
         state: &State,
         key: &str,
@@ -131,13 +132,13 @@
         now: Instant,
     ) {
         let key_state = state.keys.get(key).filter(|key_state| !key_state.content.is_deleted());
-        let at = key_state.map_or(Position::START, |key_state| key_state.revision);
+        let revision = key_state.map_or(Position::START, |key_state| key_state.revision);
         let Content::Value(value) = content else {
             return;
         };
         match serde_json::from_slice(value) {
             Ok(record) => {
-                self.gateway.rollouts().set_lost_record(service, record, at, now);
+                self.gateway.rollouts().set_lost_record(service, record, revision, now);
                 self.gateway.rollout_changed.notify_one();
             }
             Err(e) => {
@@ -149,10 +150,12 @@
     /// When the retention of a lost value expires, unless the key is written earlier.
     pub(super) fn retained_until(&self, key: &str, now: Instant) -> Option<Instant> {
         let schema = &self.schema;
-        let again = [schema.closed_halls(), schema.rollouts(), schema.daemons()];
+        let rewritten = [schema.closed_halls(), schema.rollouts(), schema.daemons()];
         match () {
             () if key.starts_with(schema.servers()) => Some(now + ENTRY_LAPSE),
-            () if again.iter().any(|prefix| key.starts_with(prefix)) => Some(now + REWRITE_TIME),
+            () if rewritten.iter().any(|prefix| key.starts_with(prefix)) => {
+                Some(now + REWRITE_TIME)
+            }
             () => None,
         }
     }
@@ -160,18 +163,17 @@
     /// Adopts the values that a peer retains.
     pub(super) fn adopt(&self, state: &mut State, retained: Vec<Retained>, now: Instant) {
         for value in retained {
-            let Retained { key, content, position, overridden: over, remaining_ms: left_ms } =
-                value;
+            let Retained { key, content, position, overridden, remaining_ms } = value;
             let key_state = state.keys.get(&*key);
-            let is_written = key_state.is_some_and(|key_state| key_state.revision > over);
-            let stands = state.retained.get(&*key).map(|kept| kept.position);
+            let is_written = key_state.is_some_and(|key_state| key_state.revision > overridden);
+            let own = state.retained.get(&*key).map(|retention| retention.position);
             let is_same = key_state.is_some_and(|key_state| key_state.content == content);
-            if is_written || is_same || stands.is_some_and(|stands| stands >= position) {
+            if is_written || is_same || own.is_some_and(|own| own >= position) {
                 continue;
             }
-            let until = left_ms.map(|ms| now + Duration::from_millis(ms.into()));
-            let kept = Retention { content: content.clone(), position, overridden: over, until };
-            self.retain(state, &key, kept, now);
+            let until = remaining_ms.map(|ms| now + Duration::from_millis(ms.into()));
+            let retention = Retention { content: content.clone(), position, overridden, until };
+            self.retain(state, &key, retention, now);
             if key.starts_with(self.schema.rollout_records()) {
                 continue;
             }
@@ -184,17 +186,18 @@
 
     /// Ends expired retentions: the store's values take effect.
     pub(super) fn expire_retained(&self, state: &mut State, now: Instant) {
-        let is_due = |kept: &Retention| kept.until.is_some_and(|until| now >= until);
-        let due = state.retained.iter().filter(|(_, kept)| is_due(kept));
+        let is_due = |retention: &Retention| retention.until.is_some_and(|until| now >= until);
+        let due = state.retained.iter().filter(|(_, retention)| is_due(retention));
         let due: Vec<Arc<str>> = due.map(|(key, _)| key.clone()).collect();
         for key in due {
             state.retained.remove(&key);
             info!(key = &*key; "retained value expired: it was not written again");
             let key_state = state.keys.get(&key).cloned();
-            let (at, content) = key_state.map_or((state.position, Content::Deleted), |key_state| {
-                (key_state.revision, key_state.content)
-            });
-            self.activate(state, &key, at, &content, now, now);
+            let (revision, content) = key_state
+                .map_or((state.position, Content::Deleted), |key_state| {
+                    (key_state.revision, key_state.content)
+                });
+            self.activate(state, &key, revision, &content, now, now);
         }
     }
 }
--- a/src/gateway/mirror/state.rs
+++ b/src/gateway/mirror/state.rs
@@ -18,6 +18,7 @@
 /// Most earlier eras for which the copy remembers its position when they ended.
 const MAX_ERA_CHANGES: usize = 4;
 
+/// The latest change of a key.
 #[derive(Debug, Clone)]
 pub(super) struct KeyState {
     pub(super) revision: Position,
@@ -34,29 +35,33 @@
     }
 }
 
+/// The data of a copy; see the module.
 #[derive(Default)]
 pub(super) struct State {
+    /// The latest change of each key, also of deleted ones.
     pub(super) keys: HashMap<Arc<str>, KeyState>,
     /// The keys ordered by their last significant change, to find what a peer is missing without a scan
     /// of all keys.
     pub(super) order: BTreeSet<(Position, Arc<str>)>,
     /// Number of keys that are deleted.
     pub(super) deleted: usize,
+    /// The position up to which the copy is complete.
     pub(super) position: Position,
     /// The last significant change up to `position`.
-    pub(super) changed: Position,
+    pub(super) last_change_within: Position,
     /// The last significant change beyond `position`, among those that arrived ahead of large values.
     pub(super) last_change_ahead: Position,
     /// The position up to which all small values are present, where that is ahead of `position`.
     pub(super) small_ahead: Position,
     /// The position up to which the urgent keys are present, where that is ahead of both.
-    pub(super) servers: Position,
+    pub(super) urgent_ahead: Position,
     /// The last significant change of an urgent key.
-    pub(super) server_change: Position,
+    pub(super) last_urgent_change: Position,
     /// Deletions up to this position are forgotten, except those that an [`EraChange`] covers.
     pub(super) deletions_known_after: Position,
     /// The last changes of era that this copy went through without being replaced.
     pub(super) era_changes: VecDeque<EraChange>,
+    /// When the copy was last confirmed to be current.
     pub(super) confirmed: Option<Instant>,
     pub(super) outages: Outages,
     /// The position of the first full read of the store in this era.
@@ -106,9 +111,9 @@
 }
 
 impl From<KeyUpdate> for IncomingChange {
-    fn from(cell: KeyUpdate) -> IncomingChange {
-        let KeyUpdate { key, revision, last_significant: mattered, content } = cell;
-        IncomingChange { key, revision, content, last_significant: Some(mattered) }
+    fn from(update: KeyUpdate) -> IncomingChange {
+        let KeyUpdate { key, revision, last_significant, content } = update;
+        IncomingChange { key, revision, content, last_significant: Some(last_significant) }
     }
 }
 
@@ -136,17 +141,18 @@
     pub(super) fn set_key(&mut self, key: &str, key_state: KeyState) {
         let shared = self.keys.get_key_value(key).map(|(key, _)| key.clone());
         let shared = shared.unwrap_or_else(|| key.into());
-        let (mattered, deleted) = (key_state.last_significant, key_state.content.is_deleted());
+        let (last_significant, deleted) =
+            (key_state.last_significant, key_state.content.is_deleted());
         let before = self.keys.insert(shared.clone(), key_state);
         self.deleted += usize::from(deleted);
         if let Some(before) = before {
             self.deleted -= usize::from(before.content.is_deleted());
-            if before.last_significant == mattered {
+            if before.last_significant == last_significant {
                 return;
             }
             self.order.remove(&(before.last_significant, shared.clone()));
         }
-        self.order.insert((mattered, shared));
+        self.order.insert((last_significant, shared));
     }
 
     /// Forgets the older half of the deleted keys if there are too many.
@@ -157,18 +163,18 @@
         let gone = self.keys.values().filter(|key_state| key_state.content.is_deleted());
         let mut gone: Vec<Position> = gone.map(|key_state| key_state.revision).collect();
         gone.sort_unstable();
-        let middle = gone[gone.len() / 2];
+        let median = gone[gone.len() / 2];
         let order = &mut self.order;
         self.keys.retain(|key, key_state| {
-            let kept = !key_state.content.is_deleted() || key_state.revision > middle;
-            if !kept {
+            let is_kept = !key_state.content.is_deleted() || key_state.revision > median;
+            if !is_kept {
                 order.remove(&(key_state.last_significant, key.clone()));
             }
-            kept
+            is_kept
         });
         self.deleted =
             self.keys.values().filter(|key_state| key_state.content.is_deleted()).count();
-        self.deletions_known_after = self.deletions_known_after.max(middle);
+        self.deletions_known_after = self.deletions_known_after.max(median);
     }
 
     /// Keys whose last significant change came after a position.
@@ -189,25 +195,30 @@
 
     /// Moves keys whose last change is of an earlier era to a position of this era: an incremental
     /// update left them out because they are unchanged.
-    pub(super) fn restamp_keys(&mut self, since: Position) {
-        for key_state in self.keys.values_mut().filter(|key_state| key_state.is_before(since.era)) {
-            key_state.revision = since;
+    pub(super) fn restamp_keys(&mut self, position: Position) {
+        for key_state in
+            self.keys.values_mut().filter(|key_state| key_state.is_before(position.era))
+        {
+            key_state.revision = position;
         }
     }
 
-    /// Time since the copy was last confirmed to be current; zero before the first confirmation.
+    /// Time since this copy was last confirmed to be current; zero before the first confirmation.
     pub(super) fn age(&self, now: Instant) -> Duration {
         self.confirmed.map_or(Duration::ZERO, |at| now.saturating_duration_since(at))
     }
 
     /// What this copy is missing according to a peer's status.
-    pub(super) fn missing_against(&self, statement: &CopyStatus) -> Missing {
+    pub(super) fn missing_against(&self, copy_status: &CopyStatus) -> Missing {
         // In another era any key may have changed.
-        let begun = Position::new(statement.position.era, 0);
-        let servers = statement.last_server_change.max(begun) > self.servers();
-        match statement.last_change.max(begun) {
-            changed if changed <= self.position && !servers => Missing::Nothing,
-            changed if changed <= self.position.max(self.small_ahead) && !servers => {
+        let era_start = Position::new(copy_status.position.era, 0);
+        let is_urgent_missing =
+            copy_status.last_server_change.max(era_start) > self.urgent_position();
+        match copy_status.last_change.max(era_start) {
+            last_change if last_change <= self.position && !is_urgent_missing => Missing::Nothing,
+            last_change
+                if last_change <= self.position.max(self.small_ahead) && !is_urgent_missing =>
+            {
                 Missing::LargeValues
             }
             _ => Missing::Changes,
@@ -215,26 +226,32 @@
     }
 
     /// The position up to which the urgent keys are complete.
-    pub(super) fn servers(&self) -> Position {
-        self.servers.max(self.small_ahead).max(self.position)
+    pub(super) fn urgent_position(&self) -> Position {
+        self.urgent_ahead.max(self.small_ahead).max(self.position)
     }
 
     /// The latest era of the store from which this copy has data.
     pub(super) fn era(&self) -> u64 {
-        self.servers().era
+        self.urgent_position().era
     }
 
-    /// Records that data of an era arrives, whose first full read was at `base`. Writes that a restored
-    /// store lost are repeated, as after an outage. Returns whether the era is newer than the copy's.
-    pub(super) fn enter_era(&mut self, position: Position, base: Position, now: Instant) -> bool {
+    /// Records that data of an era arrives, whose first full read was at `first_read`. Writes that a
+    /// restored store lost are repeated, as after an outage. Returns whether the era is newer than the
+    /// copy's.
+    pub(super) fn enter_era(
+        &mut self,
+        position: Position,
+        first_read: Position,
+        now: Instant,
+    ) -> bool {
         if self.position.is_start() {
-            self.first_read = base;
+            self.first_read = first_read;
             return false;
         }
         if position.era <= self.era() {
             return false;
         }
-        self.first_read = base;
+        self.first_read = first_read;
         self.fetched_retained.clear();
         self.era_changes
             .push_back(EraChange { from: self.deletions_known_after, to: self.position });
@@ -250,7 +267,7 @@
     /// Logs that this copy has entered a later era, learned from the store or a peer.
     pub(super) fn log_era(&self, learned: &str) {
         let before = self.era_changes.back().map_or(Position::START, |change| change.to);
-        let (after, retained) = (self.servers(), self.retained.len());
+        let (after, retained) = (self.urgent_position(), self.retained.len());
         info!(era = before.era, revision = before.revision, new_era = after.era, new_revision = after.revision, learned_from = learned, differing = self.changed_in_era, retained = retained; "the store was restored from an older state");
     }
 
@@ -261,7 +278,7 @@
         if self.last_change_ahead > self.position {
             self.position
         } else {
-            self.changed.max(self.last_change_ahead)
+            self.last_change_within.max(self.last_change_ahead)
         }
     }
 }
--- a/src/gateway/roster.rs
+++ b/src/gateway/roster.rs
@@ -26,7 +26,7 @@
 /// The other daemons that the store lists, at one moment.
 #[derive(Debug)]
 pub struct Listing {
-    /// Unique number of this listing, to detect changes.
+    /// Unique id of this listing, to detect changes.
     pub id: u64,
     /// The daemons.
     pub daemons: Vec<Daemon>,
@@ -35,11 +35,11 @@
 }
 
 impl Listing {
-    /// Creates a listing with a new number.
+    /// Creates a listing with a new id.
     pub fn new(daemons: Vec<Daemon>) -> Listing {
-        static NUMBER: AtomicU64 = AtomicU64::new(0);
+        static NEXT_ID: AtomicU64 = AtomicU64::new(0);
         let peers = daemons.iter().map(|d| d.peers).collect();
-        Listing { id: NUMBER.fetch_add(1, Ordering::Relaxed), daemons, peers }
+        Listing { id: NEXT_ID.fetch_add(1, Ordering::Relaxed), daemons, peers }
     }
 }
 
@@ -47,6 +47,7 @@
 #[derive(Debug)]
 pub struct Roster {
     own: Daemon,
+    /// The entries in the store, by their keys.
     listed: Mutex<HashMap<String, Daemon>>,
     /// The last result of `listing`, until an entry changes.
     latest: Mutex<Option<(Arc<Listing>, Rank)>>,
--- a/src/gateway/update.rs
+++ b/src/gateway/update.rs
@@ -15,9 +15,9 @@
     /// The position up to which servers' entries and the other urgent keys are complete; never below
     /// `position`.
     pub servers_position: Position,
-    /// The last significant change of those keys up to `servers`.
+    /// The last significant change of those keys up to `servers_position`.
     pub last_server_change: Position,
-    /// The position after which it knows every deletion: a full read of the store does not show earlier
+    /// The position after which the copy knows every deletion: a full read of the store does not show earlier
     /// ones.
     pub deletions_known_after: Position,
     /// Time since the copy was last confirmed to be current, in milliseconds.
@@ -88,7 +88,7 @@
 pub struct Update {
     /// The status of the sender's copy.
     pub copy_status: CopyStatus,
-    /// Whether `cells` lists all keys, so that keys not in it are deleted.
+    /// Whether `keys` lists all keys, so that keys not in it are deleted.
     pub full: bool,
     /// Whether every change is included; otherwise large values were left out.
     pub complete: bool,
