--- a/src/gateway/mirror/activate.rs
+++ b/src/gateway/mirror/activate.rs
@@ -3,7 +3,7 @@
 use super::Mirror;
 use super::state::{LAPSED_GRACE, State};
 use crate::gateway::fingerprint::Fingerprint;
-use crate::gateway::in_force::Declared;
+use crate::gateway::in_force::DeclaredConfig;
 use crate::gateway::servers::ServerRecord;
 use crate::gateway::update::Content;
 use crate::platform::Position;
@@ -27,7 +27,7 @@
         match content {
             Content::Server(record) => self.update_server(state, key, record.clone(), now),
             Content::Deleted if is_server => self.on_server_deleted(state, key, now),
-            Content::Value(value) if is_server => self.hide_server(state, key, value),
+            Content::Value(value) if is_server => self.exclude_server(state, key, value),
             Content::Deleted => self.put_in_force(key, revision, None, as_of, now),
             Content::Value(value) => {
                 self.put_in_force(key, revision, Some(value.clone()), as_of, now);
@@ -97,7 +97,7 @@
         match self.schema.table(value) {
             Ok(table) => {
                 let (version, table) = (table.version, Arc::new(table));
-                if self.gateway.in_force.take(Declared { position, table }, as_of) {
+                if self.gateway.in_force.set_if_newer(DeclaredConfig { position, table }, as_of) {
                     self.gateway.metrics.config_revision.set(revision as i64);
                     info!(version = version, revision = revision; "configuration in force");
                 }
@@ -116,7 +116,7 @@
     }
 
     /// Excludes a server whose entry can't be parsed.
-    fn hide_server(&self, state: &mut State, key: &str, value: &[u8]) {
+    fn exclude_server(&self, state: &mut State, key: &str, value: &[u8]) {
         state.lapsed.remove(key);
         let why = self.schema.server(key, value).err().map_or_else(String::new, |e| e.0);
         warn!(key = key, why = why.as_str(); "cannot parse backend server's entry: server not used");
@@ -124,7 +124,7 @@
     }
 
     fn on_server_deleted(&self, state: &mut State, key: &str, now: Instant) {
-        let until = state.outages.last_recovery().map(|returned| returned + LAPSED_GRACE);
+        let until = state.outages.last_recovery().map(|recovered| recovered + LAPSED_GRACE);
         match until.filter(|until| now < *until) {
             Some(until) => {
                 state.lapsed.insert(key.to_string(), until);
--- a/src/gateway/rollout/controller.rs
+++ b/src/gateway/rollout/controller.rs
@@ -197,7 +197,7 @@
                 *due = PendingStep { step, since: now };
             }
             let is_own_turn = now.saturating_duration_since(due.since) >= self.turn_delay(now);
-            if is_own_turn && !self.mirror.store_is_away() {
+            if is_own_turn && !self.mirror.is_store_unreachable() {
                 self.take_step(&service, step).await;
             }
         }
@@ -218,7 +218,7 @@
         }
         let since = *self.lost_since.get_or_insert(now);
         let is_own_turn = now.saturating_duration_since(since) >= self.turn_delay(now);
-        if !is_own_turn || self.mirror.store_is_away() {
+        if !is_own_turn || self.mirror.is_store_unreachable() {
             return;
         }
         for (service, position, record) in lost {
