--- a/src/lags.rs
+++ b/src/lags.rs
@@ -12,10 +12,10 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// Share of the lags that the high quantile of a report leaves out.
-const HIGH: f64 = 0.99;
+const HIGH_QUANTILE: f64 = 0.99;
 /// Time without word of the store, in milliseconds, from which a daemon counts as cut off from it: what
 /// the daemon itself takes for the store's absence.
-const UNHEARD_MS: u64 = 1_500;
+const STORE_UNREACHABLE_MS: u64 = 1_500;
 
 /// Why a daemon learnt late, as far as its lines tell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
@@ -131,7 +131,7 @@
 }
 
 impl Line {
-    fn tells_of_leaving(&self) -> bool {
+    fn reports_leaving(&self) -> bool {
         match self.what.as_str() {
             "backend server" => self.leaving,
             "backend server gone"
@@ -142,8 +142,8 @@
     }
 
     /// The servers of whose leaving it tells.
-    fn leavings(&self) -> impl Iterator<Item = &str> {
-        let one = self.tells_of_leaving().then_some(self.server.as_str());
+    fn leaving_servers(&self) -> impl Iterator<Item = &str> {
+        let one = self.reports_leaving().then_some(self.server.as_str());
         let listed = self.leaving_ids.split(',').chain(self.gone_ids.split(','));
         one.into_iter().chain(listed).filter(|id| !id.is_empty())
     }
@@ -151,46 +151,49 @@
 
 /// A time in which a daemon's copy of the store was not confirmed.
 #[derive(Debug)]
-struct Gap {
+struct StalePeriod {
     from: u64,
     to: u64,
     unheard: bool,
 }
 
 impl Run<Line> {
-    fn learnt(&self) -> HashMap<&str, u64> {
+    fn learned_at(&self) -> HashMap<&str, u64> {
         let offset = self.offset();
-        let mut learnt = HashMap::new();
+        let mut learned_at = HashMap::new();
         for line in &self.lines {
-            for server in line.leavings() {
-                learnt.entry(server).or_insert(offset + line.stamp.up_ms);
+            for server in line.leaving_servers() {
+                learned_at.entry(server).or_insert(offset + line.stamp.up_ms);
             }
         }
-        learnt
+        learned_at
     }
 
-    fn gaps(&self) -> Vec<Gap> {
+    fn stale_periods(&self) -> Vec<StalePeriod> {
         let offset = self.offset();
-        let again = self.lines.iter().filter(|l| l.what == "copy of the store is current again");
-        let gap = |l: &Line| {
+        let recoveries =
+            self.lines.iter().filter(|l| l.what == "copy of the store is current again");
+        let stale_period = |l: &Line| {
             let to = offset + l.stamp.up_ms;
-            let unheard = l.unheard_ms > UNHEARD_MS;
-            Gap { from: to.saturating_sub(l.late_ms), to, unheard }
+            let unheard = l.unheard_ms > STORE_UNREACHABLE_MS;
+            StalePeriod { from: to.saturating_sub(l.late_ms), to, unheard }
         };
-        again.map(gap).collect()
+        recoveries.map(stale_period).collect()
     }
 
     /// The lag of this run at a server of which the first daemon learnt at `first`.
-    fn lag(&self, server: &str, first: u64, learnt: u64, gaps: &[Gap]) -> Lag {
+    fn lag(&self, server: &str, first: u64, learned_at: u64, stale_periods: &[StalePeriod]) -> Lag {
         let start = self.offset() + self.lines.first().map_or(0, |line| line.stamp.up_ms);
-        let over = || gaps.iter().filter(|gap| gap.from <= learnt && gap.to >= first);
+        let overlapping = || {
+            stale_periods.iter().filter(|period| period.from <= learned_at && period.to >= first)
+        };
         let cause = match () {
             () if start > first => Cause::Started,
-            () if over().any(|gap| gap.unheard) => Cause::Unheard,
-            () if over().next().is_some() => Cause::Behind,
+            () if overlapping().any(|period| period.unheard) => Cause::Unheard,
+            () if overlapping().next().is_some() => Cause::Behind,
             () => Cause::Unexplained,
         };
-        let late = learnt - first.max(start);
+        let late = learned_at - first.max(start);
         Lag { server: server.into(), vm: self.vm.clone(), first, late, cause }
     }
 }
@@ -200,15 +203,19 @@
     let Records { read, skipped } = records::<Line>(lines);
     let runs = runs(read);
     let mut first: BTreeMap<&str, u64> = BTreeMap::new();
-    let learnt: Vec<HashMap<&str, u64>> = runs.iter().map(Run::<Line>::learnt).collect();
-    for (server, at) in learnt.iter().flatten() {
+    let learned_at: Vec<HashMap<&str, u64>> = runs.iter().map(Run::<Line>::learned_at).collect();
+    for (server, at) in learned_at.iter().flatten() {
         let first = first.entry(server).or_insert(*at);
         *first = (*first).min(*at);
     }
     let mut all = Vec::new();
-    for (run, learnt) in runs.iter().zip(&learnt) {
-        let gaps = run.gaps();
-        all.extend(learnt.iter().map(|(server, at)| run.lag(server, first[server], *at, &gaps)));
+    for (run, learned_at) in runs.iter().zip(&learned_at) {
+        let stale_periods = run.stale_periods();
+        all.extend(
+            learned_at
+                .iter()
+                .map(|(server, at)| run.lag(server, first[server], *at, &stale_periods)),
+        );
     }
     all.sort_by(|a, b| (b.late, &a.server, &a.vm).cmp(&(a.late, &b.server, &b.vm)));
     Lags { all, skipped }
@@ -225,7 +232,7 @@
         let mut late: Vec<u64> = self.unexcused().map(|lag| lag.late).collect();
         late.reverse();
         let last = late.len().checked_sub(1)?;
-        let high = (last as f64 * HIGH) as usize;
+        let high = (last as f64 * HIGH_QUANTILE) as usize;
         Some(Spread {
             count: late.len(),
             median: late[last / 2],
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -53,7 +53,7 @@
 }
 
 /// A request that went to a server in need.
-struct Sent {
+struct SentRequest {
     /// By the time of day, in milliseconds.
     at: u64,
     vm: String,
@@ -64,30 +64,30 @@
 /// milliseconds.
 pub fn limits<'a>(lines: impl Iterator<Item = &'a str>, window: u64) -> Limits {
     let Records { read, skipped } = records::<Line>(lines);
-    let mut servers: BTreeMap<String, Vec<Sent>> = BTreeMap::new();
+    let mut servers: BTreeMap<String, Vec<SentRequest>> = BTreeMap::new();
     for run in runs(read) {
         let offset = run.offset();
         for line in run.lines.into_iter().filter(|line| line.what == "sent to a server in need") {
             let Some(rate) = line.per_second else { continue };
-            let sent = Sent { at: offset + line.stamp.up_ms, vm: line.stamp.vm, rate };
+            let sent = SentRequest { at: offset + line.stamp.up_ms, vm: line.stamp.vm, rate };
             servers.entry(line.server).or_default().push(sent);
         }
     }
     let mut rows: Vec<Row> =
-        servers.into_iter().map(|(server, sent)| row(server, sent, window)).collect();
+        servers.into_iter().map(|(server, sent)| server_row(server, sent, window)).collect();
     rows.sort_by(|a, b| b.part.total_cmp(&a.part));
     Limits { rows, skipped }
 }
 
-fn row(server: String, mut sent: Vec<Sent>, window: u64) -> Row {
+fn server_row(server: String, mut sent: Vec<SentRequest>, window: u64) -> Row {
     sent.sort_by_key(|sent| sent.at);
-    let within = |i: usize| {
+    let sent_in_window = |i: usize| {
         let end = sent[i].at + window;
         sent[i..].iter().take_while(|other| other.at < end).count()
     };
-    let named = |rate: f64| rate * window as f64 / 1_000.0;
-    let part = |i: usize| within(i) as f64 / named(sent[i].rate);
-    let all = 0..sent.len();
+    let allowed = |rate: f64| rate * window as f64 / 1_000.0;
+    let fraction = |i: usize| sent_in_window(i) as f64 / allowed(sent[i].rate);
+    let indices = 0..sent.len();
     let mut vms: Vec<&str> = sent.iter().map(|sent| sent.vm.as_str()).collect();
     vms.sort_unstable();
     vms.dedup();
@@ -98,7 +98,7 @@
         daemons: vms.len(),
         sent: sent.len(),
         lasted: last - first,
-        most: all.clone().map(within).max().unwrap_or(0),
-        part: all.map(part).fold(0.0, f64::max),
+        most: indices.clone().map(sent_in_window).max().unwrap_or(0),
+        part: indices.map(fraction).fold(0.0, f64::max),
     }
 }
--- a/src/lines.rs
+++ b/src/lines.rs
@@ -66,20 +66,20 @@
 /// them; its clock begins anew with each start.
 pub fn runs<T: Stamped>(lines: Vec<T>) -> Vec<Run<T>> {
     let mut runs: Vec<Run<T>> = Vec::new();
-    let mut latest: HashMap<String, usize> = HashMap::new();
+    let mut latest_run: HashMap<String, usize> = HashMap::new();
     for line in lines {
-        let known = latest.get(&line.stamp().vm).copied();
-        let last = known.and_then(|at| runs[at].lines.last());
-        let goes_on = last.is_some_and(|last| last.stamp().up_ms <= line.stamp().up_ms);
-        let at = match known.filter(|_| goes_on) {
-            Some(at) => at,
+        let previous_run = latest_run.get(&line.stamp().vm).copied();
+        let last = previous_run.and_then(|index| runs[index].lines.last());
+        let same_run = last.is_some_and(|last| last.stamp().up_ms <= line.stamp().up_ms);
+        let index = match previous_run.filter(|_| same_run) {
+            Some(index) => index,
             None => {
                 runs.push(Run { vm: line.stamp().vm.clone(), lines: Vec::new() });
                 runs.len() - 1
             }
         };
-        latest.insert(line.stamp().vm.clone(), at);
-        runs[at].lines.push(line);
+        latest_run.insert(line.stamp().vm.clone(), index);
+        runs[index].lines.push(line);
     }
     runs
 }
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -16,20 +16,20 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Lines that wait to be written: some seconds' worth, about 0.5 MB at most.
-const QUEUE: usize = 2_048;
+const QUEUE_CAPACITY: usize = 2_048;
 /// Ordinary lines taken in a second: several for each request that a small VM can serve.
-const ORDINARY_EACH_SECOND: u64 = 400;
+const MAX_INFO_LINES_PER_SECOND: u64 = 400;
 /// Pause of the writer after a batch, so that lines are written together.
-const BATCH: Duration = Duration::from_millis(100);
+const BATCH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Lines dropped and not yet told.
-static DROPPED: AtomicU64 = AtomicU64::new(0);
-static STARTED: OnceLock<Instant> = OnceLock::new();
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
+static START_TIME: OnceLock<Instant> = OnceLock::new();
 
 /// Writes the program's log lines, at level `info` unless `RUST_LOG` says otherwise.
 pub fn init(vm: &str) {
-    STARTED.get_or_init(time::now);
-    let (lines, queue) = sync_channel(QUEUE);
+    START_TIME.get_or_init(time::now);
+    let (lines, queue) = sync_channel(QUEUE_CAPACITY);
     let spawned = std::thread::Builder::new()
         .name("log".into())
         .spawn(move || write_all(&queue, io::stdout()));
@@ -37,49 +37,49 @@
         eprintln!("no thread for log lines ({e}); raise the limit on threads to have them");
     }
     let vm = vm.to_string();
-    let quota = Mutex::new(Quota::default());
+    let rate_limiter = Mutex::new(RateLimiter::default());
     Builder::from_env(Env::default().default_filter_or("info"))
         .format(move |buf, record| {
-            let now = uptime();
-            let taken = record.level() <= Level::Warn
-                || quota.lock().expect("no holder panics").take(now.as_secs());
-            if taken {
-                return writeln!(buf, "{}", line(&vm, record, now));
+            let since_start = uptime();
+            let accepted = record.level() <= Level::Warn
+                || rate_limiter.lock().expect("no holder panics").try_accept(since_start.as_secs());
+            if accepted {
+                return writeln!(buf, "{}", line(&vm, record, since_start));
             }
-            DROPPED.fetch_add(1, Ordering::Relaxed);
+            DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
             Ok(())
         })
-        .target(Target::Pipe(Box::new(Queue(lines))))
+        .target(Target::Pipe(Box::new(QueueWriter(lines))))
         .init();
 }
 
 fn uptime() -> Duration {
-    time::since(*STARTED.get_or_init(time::now))
+    time::since(*START_TIME.get_or_init(time::now))
 }
 
 /// Ordinary lines of the present second.
 #[derive(Debug, Default)]
-struct Quota {
+struct RateLimiter {
     second: u64,
-    taken: u64,
+    accepted: u64,
 }
 
-impl Quota {
-    fn take(&mut self, second: u64) -> bool {
+impl RateLimiter {
+    fn try_accept(&mut self, second: u64) -> bool {
         if self.second != second {
-            *self = Quota { second, taken: 0 };
+            *self = RateLimiter { second, accepted: 0 };
         }
-        self.taken += 1;
-        self.taken <= ORDINARY_EACH_SECOND
+        self.accepted += 1;
+        self.accepted <= MAX_INFO_LINES_PER_SECOND
     }
 }
 
 /// One line. `up_ms` is by the steady clock and orders the lines of a process; `unix_ms` may jump.
-fn line(vm: &str, record: &Record<'_>, now: Duration) -> Json {
+fn line(vm: &str, record: &Record<'_>, since_start: Duration) -> Json {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let mut fields = Fields(Map::new());
     let header = [
-        ("up_ms", json!(now.as_millis() as u64)),
+        ("up_ms", json!(since_start.as_millis() as u64)),
         ("unix_ms", json!(unix.as_millis() as u64)),
         ("vm", json!(vm)),
         ("level", json!(record.level().as_str().to_ascii_lowercase())),
@@ -105,14 +105,14 @@
 }
 
 /// The way of a formatted line into the queue.
-struct Queue(SyncSender<Vec<u8>>);
+struct QueueWriter(SyncSender<Vec<u8>>);
 
-impl Write for Queue {
+impl Write for QueueWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) =
             self.0.try_send(line.to_vec())
         {
-            DROPPED.fetch_add(1, Ordering::Relaxed);
+            DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
     }
@@ -128,15 +128,15 @@
         while let Ok(line) = queue.try_recv() {
             batch.extend(line);
         }
-        let dropped = DROPPED.swap(0, Ordering::Relaxed);
+        let dropped = DROPPED_LINES.swap(0, Ordering::Relaxed);
         if dropped > 0 {
-            let told = json!({"up_ms": uptime().as_millis() as u64, "level": "warn", "what": "log lines dropped", "lines": dropped});
-            batch.extend(format!("{told}\n").into_bytes());
+            let notice = json!({"up_ms": uptime().as_millis() as u64, "level": "warn", "what": "log lines dropped", "lines": dropped});
+            batch.extend(format!("{notice}\n").into_bytes());
         }
         if out.write_all(&batch).and_then(|()| out.flush()).is_err() {
             // Nobody reads any more; requests go on without lines.
             return;
         }
-        std::thread::sleep(BATCH);
+        std::thread::sleep(BATCH_INTERVAL);
     }
 }
--- a/src/losses.rs
+++ b/src/losses.rs
@@ -59,7 +59,7 @@
 
 /// Servers that one request lost, in however many attempts, from which on it is told: chance seldom takes
 /// that many from a request and its repeats.
-const SUSPICIOUS: usize = 3;
+const MIN_SUSPECT_SERVERS: usize = 3;
 
 /// A request whose attempts lost several servers; it may be what ends them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
@@ -129,19 +129,19 @@
 impl Line {
     /// Whether the request may have ended its server: no answer came, or none that was whole, from a server
     /// that was not known to leave.
-    fn lost_server(&self) -> bool {
-        let broke = match self.what.as_str() {
+    fn may_have_ended_server(&self) -> bool {
+        let broken = match self.what.as_str() {
             "failed at a server" => !matches!(self.why.as_str(), "server_error" | "silent"),
             "stream cut" | "stream broke off" => !self.leaving,
             _ => false,
         };
-        broke && !self.request.is_empty() && !self.server.is_empty()
+        broken && !self.request.is_empty() && !self.server.is_empty()
     }
 }
 
 /// What is known of one attempt that has not ended.
 #[derive(Debug, Default)]
-struct Story {
+struct AttemptState {
     route: String,
     /// The daemon that passes its stream on.
     vm: Option<String>,
@@ -150,19 +150,19 @@
     no_repeat: bool,
 }
 
-impl Story {
-    fn why_cut(&self, leaving: bool) -> Cause {
+impl AttemptState {
+    fn cut_cause(&self, leaving: bool) -> Cause {
         match self {
             _ if !leaving => Cause::NoNotice,
-            Story { no_repeat: true, .. } => Cause::NoRepeat,
-            Story { copied: true, .. } => Cause::MoveUnfinished,
-            Story { no_room: true, .. } => Cause::NoRoom,
+            AttemptState { no_repeat: true, .. } => Cause::NoRepeat,
+            AttemptState { copied: true, .. } => Cause::MoveUnfinished,
+            AttemptState { no_room: true, .. } => Cause::NoRoom,
             _ => Cause::MoveNotBegun,
         }
     }
 
     /// The run has a new server: what was tried before explains nothing there.
-    fn forget_move(&mut self) {
+    fn reset_move(&mut self) {
         (self.copied, self.no_room, self.no_repeat) = (false, false, false);
     }
 }
@@ -174,9 +174,9 @@
     // Stable: the lines of one daemon stay in the order in which it wrote them.
     read.sort_by_key(|line| line.unix_ms);
     ledger.suspects = suspects(&read);
-    let mut stories = HashMap::new();
+    let mut attempts = HashMap::new();
     for line in read {
-        ledger.take(&mut stories, line);
+        ledger.process_line(&mut attempts, line);
     }
     ledger.losses.sort_by_key(|loss| loss.at);
     ledger
@@ -185,69 +185,69 @@
 /// Requests that lost several servers, those that lost most first.
 fn suspects(lines: &[Line]) -> Vec<Suspect> {
     let mut by_request: BTreeMap<&str, Suspect> = BTreeMap::new();
-    for line in lines.iter().filter(|line| line.lost_server()) {
+    for line in lines.iter().filter(|line| line.may_have_ended_server()) {
         let suspect = by_request.entry(&line.request).or_default();
         suspect.request.clone_from(&line.request);
         suspect.servers.insert(line.server.clone());
         suspect.attempts.insert(line.id.clone());
         suspect.last = suspect.last.max(line.unix_ms);
     }
-    let lost = by_request.into_values().filter(|s| s.servers.len() >= SUSPICIOUS);
-    let mut suspects: Vec<Suspect> = lost.collect();
+    let suspected = by_request.into_values().filter(|s| s.servers.len() >= MIN_SUSPECT_SERVERS);
+    let mut suspects: Vec<Suspect> = suspected.collect();
     suspects.sort_by_key(|suspect| std::cmp::Reverse(suspect.servers.len()));
     suspects
 }
 
 impl Ledger {
-    fn take(&mut self, stories: &mut HashMap<String, Story>, line: Line) {
+    fn process_line(&mut self, attempts: &mut HashMap<String, AttemptState>, line: Line) {
         if line.what == "starting" {
-            return self.daemon_started(stories, &line);
+            return self.daemon_started(attempts, &line);
         }
         if line.id.is_empty() {
             return;
         }
-        let story = stories.entry(line.id.clone()).or_default();
+        let attempt = attempts.entry(line.id.clone()).or_default();
         if !line.route.is_empty() {
-            story.route = line.route.clone();
+            attempt.route = line.route.clone();
         }
-        let ended = match line.what.as_str() {
+        let loss_cause = match line.what.as_str() {
             "stream begun" => {
                 self.begun += 1;
-                story.vm = Some(line.vm);
+                attempt.vm = Some(line.vm);
                 return;
             }
             "copy of a run" => {
-                story.copied |= line.outcome == "made";
-                story.no_room |= line.outcome.starts_with("NoRoom");
+                attempt.copied |= line.outcome == "made";
+                attempt.no_room |= line.outcome.starts_with("NoRoom");
                 return;
             }
             "run not moved" => {
-                story.no_repeat |= line.why == "no_repeat_left";
+                attempt.no_repeat |= line.why == "no_repeat_left";
                 return;
             }
-            "run moved" => return story.forget_move(),
+            "run moved" => return attempt.reset_move(),
             "stream complete" => {
                 self.complete += 1;
                 None
             }
             "caller left" => None,
-            "stream cut" => Some(story.why_cut(line.leaving)),
+            "stream cut" => Some(attempt.cut_cause(line.leaving)),
             "ended without success" | "refused unread" => Some(Cause::Ended(line.why)),
             "out of time" => Some(Cause::Ended("out of time".into())),
             _ => return,
         };
-        let story = stories.remove(&line.id).unwrap_or_default();
-        if let Some(cause) = ended {
-            self.losses.push(Loss { id: line.id, route: story.route, cause, at: line.unix_ms });
+        let attempt = attempts.remove(&line.id).unwrap_or_default();
+        if let Some(cause) = loss_cause {
+            self.losses.push(Loss { id: line.id, route: attempt.route, cause, at: line.unix_ms });
         }
     }
 
     /// Whatever the daemon was passing on is lost.
-    fn daemon_started(&mut self, stories: &mut HashMap<String, Story>, line: &Line) {
-        stories.retain(|id, story| {
-            let lost = story.vm.as_ref() == Some(&line.vm);
+    fn daemon_started(&mut self, attempts: &mut HashMap<String, AttemptState>, line: &Line) {
+        attempts.retain(|id, attempt| {
+            let lost = attempt.vm.as_ref() == Some(&line.vm);
             if lost {
-                let (id, route) = (id.clone(), story.route.clone());
+                let (id, route) = (id.clone(), attempt.route.clone());
                 self.losses.push(Loss { id, route, cause: Cause::DaemonGone, at: line.unix_ms });
             }
             !lost
