--- a/src/lines.rs
+++ b/src/lines.rs
@@ -1,19 +1,20 @@
-//! Records out of daemons' log lines, for the tools that read them.
+//! Parses daemons' JSON log lines for the tools that analyse them (`lags`, `limits` and `losses`).
 
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use std::collections::HashMap;
 
-/// The records of some lines.
+/// The result of parsing log lines.
 #[derive(Debug, Clone)]
 pub struct Records<T> {
-    /// In the order of the lines.
+    /// The parsed records, in the order of their lines.
     pub read: Vec<T>,
-    /// Lines without a record of this kind.
+    /// Lines that hold no JSON object or one that does not parse as `T`.
     pub skipped: usize,
 }
 
-/// Reads the record of each line; what stands before the first brace of a line is passed over.
+/// Parses each line as JSON. Text before a line's first brace is ignored, such as a prefix that a log
+/// collector added.
 pub fn records<'a, T: DeserializeOwned>(lines: impl Iterator<Item = &'a str>) -> Records<T> {
     let mut records = Records { read: Vec::new(), skipped: 0 };
     for line in lines {
@@ -25,35 +26,35 @@
     records
 }
 
-/// Who wrote a line, and when.
+/// Which daemon wrote a line, and when.
 #[derive(Debug, Deserialize)]
 pub struct Stamp {
     /// The daemon's VM.
     pub vm: String,
-    /// The time of day, in milliseconds since the Unix epoch; it may jump.
+    /// Wall-clock time in milliseconds since the Unix epoch. It may jump when the clock is adjusted.
     pub unix_ms: u64,
-    /// Time since the daemon's start, in milliseconds.
+    /// Time since the daemon's start in milliseconds, on a monotonic clock.
     pub up_ms: u64,
 }
 
-/// A record that tells who wrote it and when.
+/// A record that carries a [`Stamp`].
 pub trait Stamped {
-    /// Who and when.
+    /// Returns the record's stamp.
     fn stamp(&self) -> &Stamp;
 }
 
-/// One start of a daemon, until it ended.
+/// The log of one daemon process, from its start to its end.
 #[derive(Debug)]
 pub struct Run<T> {
     /// The daemon's VM.
     pub vm: String,
-    /// In the order in which it wrote them.
+    /// Its records, in the order in which it wrote them.
     pub lines: Vec<T>,
 }
 
 impl<T: Stamped> Run<T> {
-    /// From this process's clock to the time of day, in milliseconds. The time of day may jump and come back,
-    /// so the median of what all lines say is taken.
+    /// Returns the process's start in wall-clock milliseconds: added to `up_ms`, it gives the wall-clock time
+    /// of a line. The wall clock may jump and come back, so this is the median over all lines.
     pub fn offset(&self) -> u64 {
         let offset = |line: &T| line.stamp().unix_ms.saturating_sub(line.stamp().up_ms);
         let mut offsets: Vec<u64> = self.lines.iter().map(offset).collect();
@@ -62,8 +63,9 @@
     }
 }
 
-/// The lines of each start of each daemon. A daemon's own lines are in the order in which it wrote
-/// them; its clock begins anew with each start.
+/// Groups records by daemon process. Each daemon's records must be in the order in which it wrote them; those
+/// of different daemons may be interleaved. `up_ms` restarts at zero with each process, so a value lower than
+/// the one before it on the same VM marks a restart.
 pub fn runs<T: Stamped>(lines: Vec<T>) -> Vec<Run<T>> {
     let mut runs: Vec<Run<T>> = Vec::new();
     let mut latest_run: HashMap<String, usize> = HashMap::new();
