--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,8 +1,8 @@
-//! Structured log lines on standard output, one JSON object each, that never hold up their writer.
+//! Structured logging to standard output, one JSON object per line, that never blocks the logging thread.
 //!
-//! Lines wait in a bounded queue for a thread that writes them. Where the queue is full they are
-//! dropped and counted, and a line says how many. Of ordinary lines (level `info` and below) only
-//! so many are taken in a second; warnings and errors always are, while the queue has room.
+//! Lines go through a bounded queue to a thread that writes them. When the queue is full, lines are dropped
+//! and counted, and a later line reports how many. Lines at level `info` and below are also rate-limited;
+//! warnings and errors are dropped only when the queue is full.
 
 use crate::time;
 use env_logger::{Builder, Env, Target};
@@ -15,18 +15,20 @@
 use std::sync::{Mutex, OnceLock};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Lines that wait to be written: some seconds' worth, about 0.5 MB at most.
+/// Maximum number of lines that wait to be written: a few seconds' worth, about 0.5 MB at most.
 const QUEUE_CAPACITY: usize = 2_048;
-/// Ordinary lines taken in a second: several for each request that a small VM can serve.
+/// Maximum number of lines per second at level `info` and below, which is several for each request that a
+/// small VM can serve.
 const MAX_INFO_LINES_PER_SECOND: u64 = 400;
-/// Pause of the writer after a batch, so that lines are written together.
+/// Pause of the writer thread after each write, so that it writes lines in batches.
 const BATCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Lines dropped and not yet told.
+/// Number of dropped lines that no log line has reported yet.
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 static START_TIME: OnceLock<Instant> = OnceLock::new();
 
-/// Writes the program's log lines, at level `info` unless `RUST_LOG` says otherwise.
+/// Installs the program's logger and starts its writer thread. The level is `info` unless `RUST_LOG` sets
+/// another. `vm` is written in each line.
 pub fn init(vm: &str) {
     START_TIME.get_or_init(time::now);
     let (lines, queue) = sync_channel(QUEUE_CAPACITY);
@@ -34,7 +36,9 @@
         .name("log".into())
         .spawn(move || write_all(&queue, io::stdout()));
     if let Err(e) = spawned {
-        eprintln!("no thread for log lines ({e}); raise the limit on threads to have them");
+        eprintln!(
+            "failed to start the log writer thread, no log lines will be written: {e}; raise the thread limit"
+        );
     }
     let vm = vm.to_string();
     let rate_limiter = Mutex::new(RateLimiter::default());
@@ -57,7 +61,7 @@
     time::since(*START_TIME.get_or_init(time::now))
 }
 
-/// Ordinary lines of the present second.
+/// Limits lines at level `info` and below to [`MAX_INFO_LINES_PER_SECOND`].
 #[derive(Debug, Default)]
 struct RateLimiter {
     second: u64,
@@ -74,7 +78,8 @@
     }
 }
 
-/// One line. `up_ms` is by the steady clock and orders the lines of a process; `unix_ms` may jump.
+/// Formats a record as JSON. `up_ms` comes from the monotonic clock and orders the lines of a process;
+/// `unix_ms` is wall-clock time and may jump.
 fn line(vm: &str, record: &Record<'_>, since_start: Duration) -> Json {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let mut fields = Fields(Map::new());
@@ -92,7 +97,8 @@
     Json::Object(fields.0)
 }
 
-/// The key-values of a line as JSON.
+/// Collects a record's key-value pairs as JSON: numbers and booleans keep their type, the rest become
+/// strings.
 struct Fields(Map<String, Json>);
 
 impl<'kvs> VisitSource<'kvs> for Fields {
@@ -104,7 +110,8 @@
     }
 }
 
-/// The way of a formatted line into the queue.
+/// Puts formatted lines into the queue, or drops and counts them when it is full or the writer thread has
+/// ended.
 struct QueueWriter(SyncSender<Vec<u8>>);
 
 impl Write for QueueWriter {
@@ -122,7 +129,7 @@
     }
 }
 
-/// Writes lines until there are no writers left.
+/// Writes queued lines to `out` until all senders are gone or a write fails.
 fn write_all(queue: &Receiver<Vec<u8>>, mut out: impl Write) {
     while let Ok(mut batch) = queue.recv() {
         while let Ok(line) = queue.try_recv() {
@@ -134,7 +141,7 @@
             batch.extend(format!("{notice}\n").into_bytes());
         }
         if out.write_all(&batch).and_then(|()| out.flush()).is_err() {
-            // Nobody reads any more; requests go on without lines.
+            // Standard output is closed. The daemon keeps serving requests without a log.
             return;
         }
         std::thread::sleep(BATCH_INTERVAL);
