--- a/src/lags.rs
+++ b/src/lags.rs
@@ -1,38 +1,40 @@
-//! How late daemons learnt that a backend server leaves, from their own log lines.
+//! Computes from daemons' log lines how late each daemon learned that a backend server is leaving.
 //!
-//! The first daemon that learns of a server's leaving sets the moment; every other one is so much
-//! later than it. Work that a daemon sends to the server meanwhile reaches one that is known to
-//! leave, so the longest lag is the margin to whatever bound holds for that.
+//! A daemon's lag is the time from when the first daemon learned it to when this daemon did. Requests that it
+//! sends to the server in between go to a server already known to be leaving, so the longest lag shows how
+//! close the daemons came to any bound on such requests.
 //!
-//! A lag is excused where the daemon had just started, or where it heard neither the store nor a peer
-//! that did. What a daemon wrote when it was cut off is not in its lines before it is back.
+//! A lag is excused if the daemon had just started, or if it heard neither from the store nor from a peer
+//! that did. A daemon that was cut off logs the gap only once its copy of the store is current again, so a
+//! gap that is still open when the log ends is not known here.
 
 use crate::lines::{Records, Run, Stamp, Stamped, records, runs};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
-/// Share of the lags that the high quantile of a report leaves out.
+/// The quantile that [`Spread::high`] reports.
 const HIGH_QUANTILE: f64 = 0.99;
-/// Time without word of the store, in milliseconds, from which a daemon counts as cut off from it: what
-/// the daemon itself takes for the store's absence.
+/// A daemon counts as cut off from the store if it heard neither from the store nor from a peer that did for
+/// longer than this, in milliseconds. Daemons treat the store as unavailable after the same time.
 const STORE_UNREACHABLE_MS: u64 = 1_500;
 
-/// Why a daemon learnt late, as far as its lines tell.
+/// Why a daemon learned late, as far as its log shows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// It started, or its lines begin, after the first daemon had learnt; its lag counts from there.
+    /// It started, or its log begins, after the first daemon had learned. The lag counts from there.
     Started,
-    /// It heard neither the store nor a peer that did.
+    /// It heard neither from the store nor from a peer that did.
     Unheard,
-    /// It knew that its copy was behind and was not given what it lacked.
+    /// It heard from the store or such a peer, but did not receive the changes that its copy of the store
+    /// lacked.
     Behind,
-    /// Nothing in its lines explains it.
+    /// Its log shows no reason.
     Unexplained,
 }
 
 impl Cause {
-    /// The name in tables.
+    /// Returns the cause as tables show it.
     pub fn name(self) -> &'static str {
         match self {
             Cause::Started => "just started",
@@ -42,66 +44,67 @@
         }
     }
 
-    /// Whether the daemon could not have known sooner.
+    /// Returns whether the daemon could not have learned sooner.
     pub fn excused(self) -> bool {
         matches!(self, Cause::Started | Cause::Unheard)
     }
 }
 
-/// How late one daemon learnt of one server.
+/// How late one daemon learned that one server is leaving.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Lag {
     /// The server's id.
     pub server: String,
     /// The daemon's VM.
     pub vm: String,
-    /// When the first daemon had learnt, in milliseconds since the Unix epoch.
+    /// When the first daemon learned it, in milliseconds since the Unix epoch.
     pub first: u64,
-    /// How much later this one did, in milliseconds.
+    /// The lag of this daemon in milliseconds.
     pub late: u64,
-    /// Why.
+    /// Why it was late.
     pub cause: Cause,
 }
 
-/// The lags at one server.
+/// A summary of the unexcused lags for one server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Row {
     /// The server's id.
     pub server: String,
-    /// Daemons that learnt of it.
+    /// Number of unexcused lags, one for each run of a daemon.
     pub daemons: usize,
-    /// Median lag in milliseconds, excused ones left out.
+    /// Median lag in milliseconds.
     pub median: u64,
-    /// The longest of them.
+    /// Longest lag in milliseconds.
     pub longest: u64,
-    /// The daemon that it belongs to.
+    /// VM of the daemon with the longest lag.
     pub slowest: String,
-    /// Why that one was late.
+    /// Why that daemon was late.
     pub cause: Cause,
 }
 
-/// All lags of a set of logs.
+/// All lags found in a set of logs.
 #[derive(Debug, Clone, Serialize)]
 pub struct Lags {
-    /// Each daemon's lag at each server, the longest first.
+    /// Each daemon's lag for each server, longest first.
     pub all: Vec<Lag>,
-    /// Lines without a daemon's record.
+    /// Lines that are not a daemon's log record.
     pub skipped: usize,
 }
 
-/// Quantiles of lags, in milliseconds.
+/// Quantiles of the unexcused lags, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Spread {
-    /// Lags that are counted.
+    /// Number of lags.
     pub count: usize,
-    /// Half of them are longer.
+    /// The median.
     pub median: u64,
-    /// One in a hundred is longer.
+    /// The 99th percentile.
     pub high: u64,
-    /// None is longer.
+    /// The maximum.
     pub longest: u64,
 }
 
+/// The fields of a log record that the lags are computed from.
 #[derive(Debug, Deserialize)]
 struct Line {
     #[serde(flatten)]
@@ -111,15 +114,16 @@
     server: String,
     #[serde(default)]
     leaving: bool,
-    /// Servers that leave, and that have gone, of a line on several: ids with commas between them.
+    /// Comma-separated ids of leaving servers, in a line that covers several servers. `gone_ids` likewise
+    /// lists those that are gone.
     #[serde(default)]
     leaving_ids: String,
     #[serde(default)]
     gone_ids: String,
-    /// How long the copy had not been confirmed.
+    /// How long the daemon's copy of the store had not been confirmed as current.
     #[serde(default)]
     late_ms: u64,
-    /// How long no word of the store had been heard.
+    /// How long the daemon had heard from the store neither directly nor through a peer.
     #[serde(default)]
     unheard_ms: u64,
 }
@@ -131,6 +135,7 @@
 }
 
 impl Line {
+    /// Returns whether the line says that its `server` is leaving or gone.
     fn reports_leaving(&self) -> bool {
         match self.what.as_str() {
             "backend server" => self.leaving,
@@ -141,7 +146,7 @@
         }
     }
 
-    /// The servers of whose leaving it tells.
+    /// Returns the ids of all servers that the line reports as leaving or gone.
     fn leaving_servers(&self) -> impl Iterator<Item = &str> {
         let one = self.reports_leaving().then_some(self.server.as_str());
         let listed = self.leaving_ids.split(',').chain(self.gone_ids.split(','));
@@ -149,15 +154,17 @@
     }
 }
 
-/// A time in which a daemon's copy of the store was not confirmed.
+/// A period in which a daemon's copy of the store was not confirmed as current, in wall-clock milliseconds.
 #[derive(Debug)]
 struct StalePeriod {
     from: u64,
     to: u64,
+    /// Whether the daemon was cut off from the store for more than [`STORE_UNREACHABLE_MS`].
     unheard: bool,
 }
 
 impl Run<Line> {
+    /// Maps each server to when this daemon first logged that it is leaving, in wall-clock milliseconds.
     fn learned_at(&self) -> HashMap<&str, u64> {
         let offset = self.offset();
         let mut learned_at = HashMap::new();
@@ -169,6 +176,7 @@
         learned_at
     }
 
+    /// Returns the stale periods in this daemon's log. The daemon logs each when its copy is current again.
     fn stale_periods(&self) -> Vec<StalePeriod> {
         let offset = self.offset();
         let recoveries =
@@ -181,7 +189,8 @@
         recoveries.map(stale_period).collect()
     }
 
-    /// The lag of this run at a server of which the first daemon learnt at `first`.
+    /// Computes this daemon's lag for a server. The first of all daemons learned at `first` that the server
+    /// is leaving, this one at `learned_at`.
     fn lag(&self, server: &str, first: u64, learned_at: u64, stale_periods: &[StalePeriod]) -> Lag {
         let start = self.offset() + self.lines.first().map_or(0, |line| line.stamp.up_ms);
         let overlapping = || {
@@ -198,7 +207,8 @@
     }
 }
 
-/// Reads the lines of any number of daemons, each daemon's in its own order.
+/// Computes the lags from the log lines of any number of daemons. Each daemon's lines must be in the order in
+/// which it wrote them.
 pub fn lags<'a>(lines: impl Iterator<Item = &'a str>) -> Lags {
     let Records { read, skipped } = records::<Line>(lines);
     let runs = runs(read);
@@ -222,12 +232,12 @@
 }
 
 impl Lags {
-    /// Lags that nothing excuses, the longest first.
+    /// Returns the lags that are not excused, longest first.
     pub fn unexcused(&self) -> impl Iterator<Item = &Lag> {
         self.all.iter().filter(|lag| !lag.cause.excused())
     }
 
-    /// Their spread; `None` where there are none.
+    /// Returns the quantiles of the unexcused lags, or `None` if there are none.
     pub fn spread(&self) -> Option<Spread> {
         let mut late: Vec<u64> = self.unexcused().map(|lag| lag.late).collect();
         late.reverse();
@@ -241,13 +251,13 @@
         })
     }
 
-    /// A row for each server, the longest lag first.
+    /// Summarizes the unexcused lags by server, longest lag first.
     pub fn rows(&self) -> Vec<Row> {
         let mut groups: BTreeMap<&str, Vec<&Lag>> = BTreeMap::new();
         for lag in self.unexcused() {
             groups.entry(&lag.server).or_default().push(lag);
         }
-        // Within a group the longest lag comes first.
+        // Each group keeps the order of `all`: longest lag first.
         let row = |(server, lags): (&str, Vec<&Lag>)| Row {
             server: server.into(),
             daemons: lags.len(),
