--- a/src/losses.rs
+++ b/src/losses.rs
@@ -1,9 +1,8 @@
-//! A ledger of what a gateway's daemons lost, from their own log lines: which attempts of callers,
-//! when, and for what reason.
+//! Lists the callers' attempts that a gateway's daemons lost, with time and cause, from their log lines.
 //!
-//! An attempt is lost where its stream was cut, where it ended without success, or where its daemon
-//! started anew before it had ended. Lines of all daemons are read together, in any order; what
-//! stands before the first brace of a line is passed over.
+//! An attempt is lost if its stream was cut, if it ended without success, or if its daemon restarted before
+//! the attempt ended. The lines of all daemons are read together and sorted by wall-clock time. Text before a
+//! line's first brace is ignored.
 
 use crate::lines::{Records, records};
 use serde::{Deserialize, Serialize};
@@ -13,24 +12,24 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// Its server broke the stream off without having been known to leave.
+    /// Its server broke off the stream and was not known to be leaving.
     NoNotice,
-    /// Its server left before the run's turn to be moved came.
+    /// Its server left before the run's move to another server began.
     MoveNotBegun,
-    /// Its server left while the run was being copied.
+    /// Its server left after the run was copied at least once, but before its move was complete.
     MoveUnfinished,
-    /// No other server had room for it.
+    /// No other server had capacity for it.
     NoRoom,
-    /// The shared budget for repeats was spent.
+    /// The shared retry budget was used up, so the run could not be moved.
     NoRepeat,
-    /// Its daemon started anew under it.
+    /// Its daemon restarted while the attempt was in progress.
     DaemonGone,
-    /// It ended without success for the reason that the daemon gave.
+    /// It ended without success, for the reason that the daemon logged.
     Ended(String),
 }
 
 impl Cause {
-    /// The name in tables.
+    /// Returns the cause as tables show it.
     pub fn name(&self) -> &str {
         match self {
             Cause::NoNotice => "server gone without notice",
@@ -49,61 +48,62 @@
 pub struct Loss {
     /// The caller's id of the attempt.
     pub id: String,
-    /// Its route; empty where no line told it.
+    /// Its route, or empty if no line names it.
     pub route: String,
-    /// Why.
+    /// Why it was lost.
     pub cause: Cause,
-    /// When, in milliseconds since the Unix epoch on the daemon's clock.
+    /// When it was lost, in milliseconds since the Unix epoch on the daemon's clock.
     pub at: u64,
 }
 
-/// Servers that one request lost, in however many attempts, from which on it is told: chance seldom takes
-/// that many from a request and its repeats.
+/// A request is reported as a suspect if its attempts failed at this many servers or more. A request and its
+/// retries rarely meet that many failures by chance.
 const MIN_SUSPECT_SERVERS: usize = 3;
 
-/// A request whose attempts lost several servers; it may be what ends them.
+/// A request whose attempts failed at several servers. The request itself may be what crashes them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Suspect {
     /// The request's fingerprint.
     pub request: String,
-    /// The servers that it lost.
+    /// The servers that failed while they handled it.
     pub servers: BTreeSet<String>,
-    /// The attempts that lost them.
+    /// The attempts in which they failed.
     pub attempts: BTreeSet<String>,
-    /// When the last one was lost, in milliseconds since the Unix epoch on the daemon's clock.
+    /// When the last of them failed, in milliseconds since the Unix epoch on the daemon's clock.
     pub last: u64,
 }
 
-/// What was lost, and of how much.
+/// The lost attempts, and the totals to compare them with.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Ledger {
-    /// Requests that lost three servers or more, those that lost most first.
+    /// Requests that failed at three or more servers, those with the most servers first.
     pub suspects: Vec<Suspect>,
-    /// Lost attempts in the order of their moments.
+    /// Lost attempts in order of time.
     pub losses: Vec<Loss>,
-    /// Streams that began.
+    /// Number of streams that began.
     pub begun: usize,
-    /// Streams that ended well.
+    /// Number of streams that completed.
     pub complete: usize,
-    /// Lines without a daemon's record.
+    /// Lines that are not a daemon's log record.
     pub skipped: usize,
 }
 
-/// Losses of one route and cause.
+/// The losses of one route with one cause.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Row {
     /// The route.
     pub route: String,
-    /// The cause's name.
+    /// The cause, as [`Cause::name`] returns it.
     pub cause: String,
-    /// Lost attempts.
+    /// Number of lost attempts.
     pub count: usize,
-    /// Seconds from the first loss of the ledger to the first and to the last of the row.
+    /// Times of the row's first and last loss, in seconds since the ledger's first loss.
     pub span: (f64, f64),
-    /// Part of all lost weight; a route without a weight counts 1 for each attempt.
+    /// The row's fraction of the weight of all lost attempts.
     pub share: f64,
 }
 
+/// The fields of a log record that the ledger is computed from.
 #[derive(Debug, Deserialize)]
 struct Line {
     what: String,
@@ -119,7 +119,7 @@
     outcome: String,
     #[serde(default)]
     leaving: bool,
-    /// Fingerprint of the request, where a server was lost.
+    /// The request's fingerprint, in lines that report a failure at a server.
     #[serde(default)]
     request: String,
     #[serde(default)]
@@ -127,8 +127,9 @@
 }
 
 impl Line {
-    /// Whether the request may have ended its server: no answer came, or none that was whole, from a server
-    /// that was not known to leave.
+    /// Returns whether the request may have crashed its server: the server gave no answer or an incomplete
+    /// one. Streams that were cut while the server was known to be leaving don't count, nor do error answers
+    /// (`server_error`) and servers that stayed `silent`.
     fn may_have_ended_server(&self) -> bool {
         let broken = match self.what.as_str() {
             "failed at a server" => !matches!(self.why.as_str(), "server_error" | "silent"),
@@ -139,18 +140,22 @@
     }
 }
 
-/// What is known of one attempt that has not ended.
+/// What the lines so far say about an attempt that has not ended.
 #[derive(Debug, Default)]
 struct AttemptState {
     route: String,
-    /// The daemon that passes its stream on.
+    /// VM of the daemon that relays its stream.
     vm: Option<String>,
+    /// Whether the run was copied to another server.
     copied: bool,
+    /// Whether a copy failed because the other server had no capacity.
     no_room: bool,
+    /// Whether a move failed because the retry budget was used up.
     no_repeat: bool,
 }
 
 impl AttemptState {
+    /// Returns why its stream was cut. `leaving` is whether its server was known to be leaving.
     fn cut_cause(&self, leaving: bool) -> Cause {
         match self {
             _ if !leaving => Cause::NoNotice,
@@ -161,17 +166,17 @@
         }
     }
 
-    /// The run has a new server: what was tried before explains nothing there.
+    /// Clears the state of earlier moves once the run has moved: they don't explain a cut at the new server.
     fn reset_move(&mut self) {
         (self.copied, self.no_room, self.no_repeat) = (false, false, false);
     }
 }
 
-/// Reads the lines of any number of daemons.
+/// Builds the ledger from the log lines of any number of daemons.
 pub fn ledger<'a>(lines: impl Iterator<Item = &'a str>) -> Ledger {
     let Records { mut read, skipped } = records::<Line>(lines);
     let mut ledger = Ledger { skipped, ..Ledger::default() };
-    // Stable: the lines of one daemon stay in the order in which it wrote them.
+    // The sort is stable, so lines of one daemon with the same time stay in the order in which it wrote them.
     read.sort_by_key(|line| line.unix_ms);
     ledger.suspects = suspects(&read);
     let mut attempts = HashMap::new();
@@ -182,7 +187,8 @@
     ledger
 }
 
-/// Requests that lost several servers, those that lost most first.
+/// Returns the requests that failed at [`MIN_SUSPECT_SERVERS`] or more servers, those with the most servers
+/// first.
 fn suspects(lines: &[Line]) -> Vec<Suspect> {
     let mut by_request: BTreeMap<&str, Suspect> = BTreeMap::new();
     for line in lines.iter().filter(|line| line.may_have_ended_server()) {
@@ -199,6 +205,7 @@
 }
 
 impl Ledger {
+    /// Updates the state of the line's attempt, and the ledger if the attempt ended.
     fn process_line(&mut self, attempts: &mut HashMap<String, AttemptState>, line: Line) {
         if line.what == "starting" {
             return self.daemon_started(attempts, &line);
@@ -242,7 +249,7 @@
         }
     }
 
-    /// Whatever the daemon was passing on is lost.
+    /// Records the attempts whose streams the daemon was relaying before it restarted as lost.
     fn daemon_started(&mut self, attempts: &mut HashMap<String, AttemptState>, line: &Line) {
         attempts.retain(|id, attempt| {
             let lost = attempt.vm.as_ref() == Some(&line.vm);
@@ -254,8 +261,8 @@
         });
     }
 
-    /// The losses by route and cause, the heaviest first. `weights` gives what one attempt of a route
-    /// is worth.
+    /// Groups the losses by route and cause, largest share first. `weights` maps a route to the weight of one
+    /// of its attempts; a route that is not listed has weight 1.
     pub fn rows(&self, weights: &BTreeMap<String, f64>) -> Vec<Row> {
         let first = self.losses.first().map_or(0, |loss| loss.at);
         let weight = |route: &str| weights.get(route).copied().unwrap_or(1.0);
