--- a/src/limits.rs
+++ b/src/limits.rs
@@ -1,40 +1,43 @@
-//! What all daemons together sent to servers that named a limit, from their own log lines.
+//! Computes from daemons' log lines how many requests all daemons together sent to servers with a rate limit.
 //!
-//! The most that was sent within a window, against what the limit in force then allows in it, is the margin to
-//! whatever bound holds for that. Only what was sent by daemons that knew of the limit has a line.
+//! The largest number of requests within a time window, compared with what the limit at that time allows,
+//! shows how close the daemons came to any bound on such requests. A request is logged only if its daemon
+//! knew of the limit, so others are not counted.
 
 use crate::lines::{Records, Stamp, Stamped, records, runs};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What was sent to one server in need.
+/// The requests that were sent to one limited server.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Row {
     /// The server's id.
     pub server: String,
-    /// The least that it named, in requests a second.
+    /// The server's lowest limit, in requests per second.
     pub least: f64,
-    /// Daemons that sent there.
+    /// Number of daemons that sent requests to it.
     pub daemons: usize,
-    /// Requests that they sent.
+    /// Number of requests that they sent.
     pub sent: usize,
-    /// From the first to the last of them, in milliseconds.
+    /// Time from the first to the last of these requests, in milliseconds.
     pub lasted: u64,
-    /// The most within the window.
+    /// The largest number of requests within one window.
     pub most: usize,
-    /// The most as a part of what was named for the window, at the window where that is highest.
+    /// The highest ratio, over all windows, of the requests in a window to the number that the limit at its
+    /// start allows. Above 1 the limit was exceeded.
     pub part: f64,
 }
 
-/// All that was sent to servers in need.
+/// The requests that were sent to limited servers.
 #[derive(Debug, Clone, Serialize)]
 pub struct Limits {
-    /// A row for each server, the highest part first.
+    /// A row for each server, highest `part` first.
     pub rows: Vec<Row>,
-    /// Lines without a daemon's record.
+    /// Lines that are not a daemon's log record.
     pub skipped: usize,
 }
 
+/// The fields of a log record that the rows are computed from.
 #[derive(Debug, Deserialize)]
 struct Line {
     #[serde(flatten)]
@@ -42,7 +45,7 @@
     what: String,
     #[serde(default)]
     server: String,
-    /// What the server takes, as the daemon knew it.
+    /// The server's limit in requests per second, as the daemon knew it.
     per_second: Option<f64>,
 }
 
@@ -52,16 +55,17 @@
     }
 }
 
-/// A request that went to a server in need.
+/// A request that was sent to a limited server.
 struct SentRequest {
-    /// By the time of day, in milliseconds.
+    /// When it was sent, in wall-clock milliseconds since the Unix epoch.
     at: u64,
     vm: String,
+    /// The server's limit in requests per second.
     rate: f64,
 }
 
-/// Reads the lines of any number of daemons, each daemon's in its own order; counts within `window`
-/// milliseconds.
+/// Computes the rows from the log lines of any number of daemons. Each daemon's lines must be in the order in
+/// which it wrote them. `window` is the length of the time window in milliseconds.
 pub fn limits<'a>(lines: impl Iterator<Item = &'a str>, window: u64) -> Limits {
     let Records { read, skipped } = records::<Line>(lines);
     let mut servers: BTreeMap<String, Vec<SentRequest>> = BTreeMap::new();
@@ -79,6 +83,7 @@
     Limits { rows, skipped }
 }
 
+/// Summarizes the requests to one server. A window of `window` milliseconds starts at each request.
 fn server_row(server: String, mut sent: Vec<SentRequest>, window: u64) -> Row {
     sent.sort_by_key(|sent| sent.at);
     let sent_in_window = |i: usize| {
