--- a/src/gateway/core.rs
+++ b/src/gateway/core.rs
@@ -5,7 +5,7 @@
 use crate::gateway::in_force::InForce;
 use crate::gateway::metrics::GatewayMetrics;
 use crate::gateway::place::PlacementPolicy;
-use crate::gateway::port::Wire;
+use crate::gateway::port::BackendTransport;
 use crate::gateway::promises::Promises;
 use crate::gateway::quarantine::Quarantine;
 use crate::gateway::regions::{AllowedRegions, Regions};
@@ -81,7 +81,7 @@
     /// Configuration in force.
     pub in_force: InForce,
     /// Transport to backend servers.
-    pub wire: Arc<dyn Wire>,
+    pub wire: Arc<dyn BackendTransport>,
     /// Metrics of this daemon's gateway.
     pub metrics: GatewayMetrics,
     /// Hall of this daemon.
@@ -131,7 +131,7 @@
         hall: &str,
         regions: Regions,
         bounds: Bounds,
-        wire: Arc<dyn Wire>,
+        wire: Arc<dyn BackendTransport>,
         placement_policy: Box<dyn PlacementPolicy>,
         now: Instant,
     ) -> Arc<Gateway> {
@@ -222,7 +222,7 @@
         let deadline = *self.shutdown_deadline.lock().expect("no holder panics");
         deadline.is_none_or(|end| {
             let left = end.saturating_duration_since(now).saturating_sub(SHUTDOWN_MARGIN);
-            call.route.repeatable() || call.size.longest() <= left
+            call.route.repeatable() || call.size.max_duration() <= left
         })
     }
 
--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 
 /// Most bytes that an event may take before the stream is taken as broken.
-const MOST_BYTES: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// One event.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -19,7 +19,7 @@
 
 /// An event that grew past any bound.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TooLong;
+pub struct EventTooLong;
 
 /// Splits a stream into events.
 #[derive(Debug, Default)]
@@ -31,9 +31,9 @@
 
 impl Splitter {
     /// Takes in the next bytes of the stream.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<(), TooLong> {
-        if self.buffer.len() + bytes.len() > MOST_BYTES {
-            return Err(TooLong);
+    pub fn push(&mut self, bytes: &[u8]) -> Result<(), EventTooLong> {
+        if self.buffer.len() + bytes.len() > MAX_EVENT_BYTES {
+            return Err(EventTooLong);
         }
         self.buffer.extend_from_slice(bytes);
         Ok(())
@@ -41,7 +41,7 @@
 
     /// The next whole event.
     pub fn take(&mut self) -> Option<Event> {
-        let Some(end) = self.end() else {
+        let Some(end) = self.find_end() else {
             // The last three bytes may be the start of a blank line.
             self.searched = self.buffer.len().saturating_sub(3);
             return None;
@@ -52,11 +52,11 @@
     }
 
     /// Whether the stream stands inside an event.
-    pub fn is_inside(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    fn end(&self) -> Option<usize> {
+    fn find_end(&self) -> Option<usize> {
         let from = self.searched;
         let bytes = &self.buffer[from..];
         for (i, byte) in bytes.iter().enumerate() {
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -3,10 +3,10 @@
 use crate::gateway::admission::{self, AdmissionClass};
 use crate::gateway::core::Gateway;
 use crate::gateway::limited::SERVERS_IN_NEED;
-use crate::gateway::port::{Lost, Reply, Sending};
+use crate::gateway::port::{Reply, SendError, SendOptions};
 use crate::gateway::quarantine::RunProgress;
 use crate::gateway::relay;
-use crate::gateway::request::{Answer, AnswerBody, BrokenOff, Call, full_body};
+use crate::gateway::request::{Answer, AnswerBody, Call, IncompleteBody, full_body};
 use crate::gateway::servers::ServerKey;
 use crate::gateway::slot::{NoSlot, Slot};
 use crate::gateway::table::{RouteKind, Service};
@@ -24,12 +24,12 @@
 /// Largest answer of a plain service that is held until it is whole.
 const MAX_BUFFERED: usize = 256 << 10;
 /// Most sendings of one request, refusals by servers included.
-const MOST_SENDINGS: usize = 4;
+const MAX_SENDINGS: usize = 4;
 /// Servers besides that may be tried and not reached before a request is given up. Each may take as
 /// long as a connection is waited for, so that a plain request's aim is past.
-const MOST_UNREACHED: usize = 4;
+const MAX_UNREACHED: usize = 4;
 /// Part of a plain route's aim after which a silent server is given up for another one.
-const SILENT_FRACTION: f64 = 0.6;
+const SILENCE_FRACTION: f64 = 0.6;
 
 /// What one sending came to. The proof is there while the request has never run.
 pub(crate) enum Sent {
@@ -99,21 +99,21 @@
         // The latest answer of a server that failed the request.
         let mut fallback = None;
         loop {
-            let slot = match self.slot_or_borrow().await {
+            let slot = match self.next_slot_or_borrow_quota().await {
                 Ok(slot) => slot,
                 Err(why) => return self.give_up(proof, fallback, why),
             };
             self.tried.push(slot.key());
-            match self.send_patiently(slot, proof.take()).await {
+            match self.send_with_timeout(slot, proof.take()).await {
                 Sent::Answered(answer) => return Ok(answer),
-                Sent::NotReached(unspent) => {
+                Sent::NotReached(returned) => {
                     self.count_failed("not run by a server", "not_reached");
                     self.unreached += 1;
-                    proof = unspent;
+                    proof = returned;
                 }
-                Sent::NotRun(unspent, why) => {
+                Sent::NotRun(returned, why) => {
                     self.count_failed("not run by a server", why);
-                    proof = unspent;
+                    proof = returned;
                 }
                 Sent::Failed(answer, why) => {
                     self.count_failed("failed at a server", why);
@@ -128,7 +128,7 @@
     }
 
     /// The next server to try; where only servers in need could have room, also with a peer's.
-    async fn slot_or_borrow(&self) -> Result<Slot, NoSlot> {
+    async fn next_slot_or_borrow_quota(&self) -> Result<Slot, NoSlot> {
         let now = time::now();
         match self.next_slot(now) {
             Err(why) if why.reason == SERVERS_IN_NEED => {
@@ -150,7 +150,7 @@
             return Err("daemon_leaves".into());
         }
         let arrived = self.tried.len() - self.unreached;
-        if arrived >= MOST_SENDINGS || self.unreached >= MOST_UNREACHED {
+        if arrived >= MAX_SENDINGS || self.unreached >= MAX_UNREACHED {
             let (servers, why) = (self.gateway.servers(), "servers_refuse".into());
             return Err(self.gateway.after_backoff(why, &servers, &self.service, self.call, now));
         }
@@ -178,14 +178,14 @@
         let call = self.call;
         match call.after {
             Some(_) => AdmissionClass::Begun,
-            None => AdmissionClass::of(call.left(call.arrived), call.route.timeout),
+            None => AdmissionClass::of(call.time_left(call.arrived), call.route.timeout),
         }
     }
 
     /// Sends; a silent server is given up in time for another one where that may run too.
-    async fn send_patiently(&self, slot: Slot, proof: Option<NotSent>) -> Sent {
+    async fn send_with_timeout(&self, slot: Slot, proof: Option<NotSent>) -> Sent {
         let (key, trial) = (slot.key(), slot.rollout_sample);
-        let Some(limit) = self.patience(&slot) else {
+        let Some(limit) = self.silence_timeout(&slot) else {
             return self.send(slot, proof).await;
         };
         timeout(limit, self.send(slot, proof)).await.unwrap_or_else(|_| {
@@ -198,19 +198,24 @@
     }
 
     async fn send(&self, mut slot: Slot, proof: Option<NotSent>) -> Sent {
-        let unrun = proof.is_some();
+        let never_ran = proof.is_some();
         let now = time::now();
         slot.store_age = self.gateway.record_store_age(now);
-        let left = self.call.left(now);
+        let left = self.call.time_left(now);
         let after = self.call.after;
-        let sending = Sending { to: slot.place.destination.clone(), left, from: None, after };
+        let sending = SendOptions {
+            to: slot.place.destination.clone(),
+            time_left: left,
+            resume_from: None,
+            after,
+        };
         self.gateway.log_server_remarks(self.call, slot.key(), now);
         let reply = match self.gateway.wire.send(self.call, sending, proof).await {
             Ok(reply) => reply,
-            Err(lost) => return self.lost(&slot, lost).await,
+            Err(lost) => return self.handle_send_error(&slot, lost).await,
         };
         self.gateway.handle_remarks(slot.key(), &reply.remarks, now);
-        let declared = || unrun.then(NotSent::declared);
+        let declared = || never_ran.then(NotSent::declared);
         if reply.misdirected {
             self.gateway.servers().mark_leaving(slot.key(), time::now());
             return Sent::NotRun(declared(), "replaced");
@@ -225,7 +230,7 @@
         }
         let failed = reply.status.is_server_error();
         let status = reply.status.as_u16();
-        let answer = hold(reply).await;
+        let answer = read_answer(reply).await;
         slot.record_result(failed || answer.is_err());
         let (id, route) = (self.call.id.as_str(), self.call.route.name.as_str());
         let (server, whole) = (slot.id(), answer.is_ok());
@@ -243,16 +248,16 @@
         }
     }
 
-    async fn lost(&self, slot: &Slot, lost: Lost) -> Sent {
+    async fn handle_send_error(&self, slot: &Slot, lost: SendError) -> Sent {
         slot.record_result(true);
         let (id, server) = (self.call.id.as_str(), slot.id());
         match lost {
-            Lost::Unsent { proof, refused, reason } => {
+            SendError::Unsent { proof, refused, reason } => {
                 slot.record_connect_failure(refused);
                 warn!(id = id, server = server, reason = reason.as_str(); "server not reached");
                 Sent::NotReached(proof)
             }
-            Lost::Unanswered { reason } => {
+            SendError::Unanswered { reason } => {
                 warn!(id = id, server = server, reason = reason.as_str(); "no answer from a server");
                 self.gateway.handle_lost_run(self.call, slot, RunProgress::NoEvents).await;
                 Sent::Failed(None, "no_answer")
@@ -261,13 +266,13 @@
     }
 
     /// How long a silent server is waited for while another run is allowed.
-    fn patience(&self, slot: &Slot) -> Option<Duration> {
+    fn silence_timeout(&self, slot: &Slot) -> Option<Duration> {
         if !self.call.route.may_run_again(self.runs + 1) {
             return None;
         }
         let aim = self.call.route.latency_slo;
         Some(match self.call.route.kind {
-            RouteKind::Safe => aim.mul_f64(SILENT_FRACTION),
+            RouteKind::Safe => aim.mul_f64(SILENCE_FRACTION),
             _ => admission::first_event_timeout(
                 aim,
                 slot.waiting_tokens + slot.place.load.unread_prompt,
@@ -319,7 +324,7 @@
 }
 
 /// Reads a plain answer until it is whole; one that is too large is passed on as it comes.
-async fn hold(reply: Reply) -> Result<Answer, BrokenOff> {
+async fn read_answer(reply: Reply) -> Result<Answer, IncompleteBody> {
     let Reply { status, headers, mut body, .. } = reply;
     let mut buffered = BytesMut::new();
     while let Some(frame) = body.frame().await {
@@ -327,14 +332,14 @@
             buffered.extend_from_slice(&data);
         }
         if buffered.len() > MAX_BUFFERED {
-            return Ok(Answer { status, headers, body: continued(buffered.freeze(), body) });
+            return Ok(Answer { status, headers, body: with_first_part(buffered.freeze(), body) });
         }
     }
     Ok(Answer { status, headers, body: full_body(buffered.freeze()) })
 }
 
 /// A body whose first part has been read.
-fn continued(first: Bytes, rest: AnswerBody) -> AnswerBody {
+fn with_first_part(first: Bytes, rest: AnswerBody) -> AnswerBody {
     let first = futures_util::stream::once(async { Ok(Frame::data(first)) });
     StreamBody::new(first.chain(BodyStream::new(rest))).boxed_unsync()
 }
--- a/src/gateway/health_check.rs
+++ b/src/gateway/health_check.rs
@@ -61,7 +61,7 @@
     match gateway.wire.health(&server.to, path, CHECK_INTERVAL).await {
         Ok(health) => {
             gateway.handle_remarks(server.key, &health.remarks, now);
-            if !health.well {
+            if !health.healthy {
                 info!(server = &*server.to.id; "health check failed, server may be leaving");
                 gateway.servers().suspect(server.key, now);
             }
--- a/src/gateway/limited.rs
+++ b/src/gateway/limited.rs
@@ -99,7 +99,7 @@
         let demand = self.budget().rate(service, now);
         let mut promises = self.promises();
         let promises = promises.entry(service.clone()).or_default();
-        let back = promises.retry_advice(quota, demand, call.left(now), now);
+        let back = promises.retry_advice(quota, demand, call.time_left(now), now);
         NoSlot { reason: SERVERS_IN_NEED, retry_after: back.after, due: back.due }
     }
 
--- a/src/gateway/listen.rs
+++ b/src/gateway/listen.rs
@@ -19,9 +19,9 @@
 use tokio::time::sleep;
 
 /// The parser's least buffer, in bytes.
-const LEAST_BUFFER: usize = 8 << 10;
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 /// Pause after a connection could not be taken, as when descriptors run out.
-const AFTER_FAILURE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// How far a planned stop has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -38,16 +38,16 @@
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionLimits {
     /// Largest head of a request, in bytes.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
     /// Longest time without a whole head, rest between requests included.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// Connections that are open, and how many may be.
 #[derive(Debug)]
-pub struct Open {
+pub struct OpenConnections {
     count: AtomicUsize,
-    most: usize,
+    max: usize,
 }
 
 /// What answers requests.
@@ -62,10 +62,10 @@
     fn limits(&self) -> ConnectionLimits;
 }
 
-impl Open {
+impl OpenConnections {
     /// None yet, of `most`.
-    pub fn new(most: usize) -> Open {
-        Open { count: AtomicUsize::new(0), most }
+    pub fn new(max: usize) -> OpenConnections {
+        OpenConnections { count: AtomicUsize::new(0), max }
     }
 
     /// How many.
@@ -75,23 +75,23 @@
 
     /// Whether no further one is taken.
     pub fn is_full(&self) -> bool {
-        self.count() >= self.most
+        self.count() >= self.max
     }
 
     /// Counts one more; `None` where too many are open.
-    fn enter(self: &Arc<Self>) -> Option<Counted> {
+    fn enter(self: &Arc<Self>) -> Option<ConnectionGuard> {
         if self.is_full() {
             return None;
         }
         self.count.fetch_add(1, Ordering::Relaxed);
-        Some(Counted(self.clone()))
+        Some(ConnectionGuard(self.clone()))
     }
 }
 
 /// One connection among those that are open.
-struct Counted(Arc<Open>);
+struct ConnectionGuard(Arc<OpenConnections>);
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.count.fetch_sub(1, Ordering::Relaxed);
     }
@@ -115,36 +115,36 @@
     listener: TcpListener,
     handler: Arc<dyn Handler>,
     mut phase: watch::Receiver<Phase>,
-    open: Arc<Open>,
+    open: Arc<OpenConnections>,
 ) {
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = closing(&mut phase) => return,
+            () = wait_for_closing(&mut phase) => return,
         };
         match accepted {
             Ok((stream, _)) => {
-                let Some(counted) = open.enter() else {
+                let Some(guard) = open.enter() else {
                     // Closed unread: the caller may try another daemon with any request.
                     debug!("connection over the limit closed");
                     continue;
                 };
-                let connection = connection(stream, handler.clone(), phase.clone());
+                let connection = serve_connection(stream, handler.clone(), phase.clone());
                 tokio::spawn(async move {
                     connection.await;
-                    drop(counted);
+                    drop(guard);
                 });
             }
             Err(e) => {
                 warn!(why = e.to_string().as_str(); "connection not taken");
-                sleep(AFTER_FAILURE).await;
+                sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
     }
 }
 
 /// Serves one connection.
-async fn connection(
+async fn serve_connection(
     stream: TcpStream,
     handler: Arc<dyn Handler>,
     mut phase: watch::Receiver<Phase>,
@@ -161,13 +161,13 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.idle)
-        .max_buf_size(limits.header_bytes.max(LEAST_BUFFER))
+        .header_read_timeout(limits.idle_timeout)
+        .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let ended = tokio::select! {
         ended = &mut connection => ended,
-        () = closing(&mut phase) => {
+        () = wait_for_closing(&mut phase) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
@@ -178,7 +178,7 @@
 }
 
 /// Returns once no new connections or requests are taken.
-async fn closing(phase: &mut watch::Receiver<Phase>) {
+async fn wait_for_closing(phase: &mut watch::Receiver<Phase>) {
     // An error means that the daemon itself has ended.
     drop(phase.wait_for(|phase| *phase == Phase::Closing).await);
 }
--- a/src/gateway/moving.rs
+++ b/src/gateway/moving.rs
@@ -20,23 +20,23 @@
 use tokio::time::sleep;
 
 /// Pause before a copy is asked for again where the server was busy with it or had not begun the run.
-const AGAIN: Duration = Duration::from_millis(25);
+const RETRY_PAUSE: Duration = Duration::from_millis(25);
 /// A copy of what is new that takes no longer finds the links quiet: the run can be stopped for the
 /// last copy, and its caller sees about such a pause.
-const QUIET: Duration = Duration::from_millis(70);
+const QUIET_COPY_TIME: Duration = Duration::from_millis(70);
 /// Time after the notice at which a run is stopped even on busy links. A server is gone 1.5 s after
 /// it gives notice, sometimes a little later.
-const STOP_BY: Duration = Duration::from_millis(1_250);
+const STOP_AFTER: Duration = Duration::from_millis(1_250);
 /// Copies take up to this many times as long as the link's bandwidth says: twice to other halls, and
 /// a little for each exchange.
 const COPY_SLACK: f64 = 2.2;
 /// Time between two looks at what other daemons still have at a server.
-const LOOK: Duration = Duration::from_millis(4);
+const POLL_INTERVAL: Duration = Duration::from_millis(4);
 /// Tries of one copy that is refused for such a passing reason.
-const MOST_TRIES: u32 = 12;
+const MAX_TRIES: u32 = 12;
 
 /// What a move came to.
-pub(crate) enum Moved {
+pub(crate) enum MoveOutcome {
     /// The run was stopped and its memory is whole at the server of the slot.
     Stopped {
         /// The copy.
@@ -45,9 +45,9 @@
         slot: Box<Slot>,
     },
     /// The run was stopped, and only its own server holds its memory.
-    SourceKeeps(RunCopy),
+    KeptAtSource(RunCopy),
     /// The run goes on where it is.
-    Stays(&'static str),
+    NotMoved(&'static str),
 }
 
 /// Moves a run to another server. `stopping` turns true right before the run is told to stop.
@@ -57,19 +57,19 @@
     service: Arc<Service>,
     source: Placement,
     stopping: Arc<AtomicBool>,
-) -> Moved {
+) -> MoveOutcome {
     let noticed = time::now();
     let turn = gateway.move_permit(source.key);
     let _turn = turn.acquire().await;
     wait_for_others(&gateway, &service, &source).await;
     if !gateway.allows_retry(&service.name, RetryKind::Continuation, time::now()) {
-        return Moved::Stays("no_repeat_left");
+        return MoveOutcome::NotMoved("no_repeat_left");
     }
     let mut refused = vec![source.key];
     let (slot, mut copy) = loop {
         let now = time::now();
         let Some(mut slot) = gateway.slot_for_copy(&service, &call, &source, &refused, now) else {
-            return Moved::Stays("no_server");
+            return MoveOutcome::NotMoved("no_server");
         };
         let copier = Copier { gateway: &gateway, run: &call.id, from: &source, to: &slot };
         match copier.copy_until_quiet(noticed).await {
@@ -78,16 +78,16 @@
                 break (slot, copy);
             }
             Err(NotCopied::NoRoom(_)) => refused.push(slot.key()),
-            Err(_) => return Moved::Stays("copy_refused"),
+            Err(_) => return MoveOutcome::NotMoved("copy_refused"),
         }
     };
     // Copies may have taken a second, and a run that has stopped must go on somewhere.
     if !gateway.servers().accepts_in_flight(slot.key(), time::now()) {
-        return Moved::Stays("target_rests");
+        return MoveOutcome::NotMoved("target_rests");
     }
     // Only what goes on elsewhere is a repeat, and other runs may have spent the last one meanwhile.
     if !gateway.spend_retry(&service.name, RetryKind::Continuation, time::now()) {
-        return Moved::Stays("no_repeat_left");
+        return MoveOutcome::NotMoved("no_repeat_left");
     }
     stopping.store(true, Ordering::Relaxed);
     let copier = Copier { gateway: &gateway, run: &call.id, from: &source, to: &slot };
@@ -95,25 +95,25 @@
     match copier.copy(true).await {
         Ok(copied) => {
             copy.handle = None;
-            Moved::Stopped { kept: kept(copied.handle), slot: Box::new(slot) }
+            MoveOutcome::Stopped { kept: kept(copied.handle), slot: Box::new(slot) }
         }
         Err(NotCopied::NoRoom(Some(handle))) => {
             copy.handle = None;
-            Moved::SourceKeeps(kept(handle))
+            MoveOutcome::KeptAtSource(kept(handle))
         }
-        Err(_) => Moved::Stays("last_copy"),
+        Err(_) => MoveOutcome::NotMoved("last_copy"),
     }
 }
 
 /// A copy that was made ahead; it is freed where nothing comes of the move.
-struct CopyAhead {
+struct PreCopy {
     gateway: Arc<Gateway>,
     from: SocketAddr,
     /// `None` once it is needed.
     handle: Option<String>,
 }
 
-impl Drop for CopyAhead {
+impl Drop for PreCopy {
     fn drop(&mut self) {
         if let Some(handle) = self.handle.take() {
             let (gateway, from) = (self.gateway.clone(), self.from);
@@ -137,7 +137,7 @@
         if ahead == 0 || time::since(since) >= copy_time(ahead, engine) {
             return;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -157,8 +157,8 @@
 
 impl Copier<'_> {
     /// Copies while the run goes on, until a copy finds the links quiet or time is short.
-    async fn copy_until_quiet(&self, noticed: Instant) -> Result<CopyAhead, NotCopied> {
-        let mut ahead = CopyAhead {
+    async fn copy_until_quiet(&self, noticed: Instant) -> Result<PreCopy, NotCopied> {
+        let mut ahead = PreCopy {
             gateway: self.gateway.clone(),
             from: self.from.destination.addr,
             handle: None,
@@ -166,7 +166,7 @@
         loop {
             let began = time::now();
             ahead.handle = Some(self.copy(false).await?.handle);
-            if time::since(began) <= QUIET || time::since(noticed) >= STOP_BY {
+            if time::since(began) <= QUIET_COPY_TIME || time::since(noticed) >= STOP_AFTER {
                 return Ok(ahead);
             }
         }
@@ -183,7 +183,9 @@
                 self.gateway.wire.copy(self.from.destination.addr, self.run, target, last).await;
             self.gateway.handle_remarks(self.from.key, &answer.remarks, asked);
             match answer.outcome {
-                Err(NotCopied::Busy | NotCopied::NoRun) if tries < MOST_TRIES => sleep(AGAIN).await,
+                Err(NotCopied::Busy | NotCopied::NoRun) if tries < MAX_TRIES => {
+                    sleep(RETRY_PAUSE).await
+                }
                 copied => break copied,
             }
         };
--- a/src/gateway/port.rs
+++ b/src/gateway/port.rs
@@ -35,13 +35,13 @@
 
 /// How a request is sent.
 #[derive(Debug, Clone)]
-pub struct Sending {
+pub struct SendOptions {
     /// To whom.
     pub to: Destination,
     /// Time that the backend server is given.
-    pub left: Duration,
+    pub time_left: Duration,
     /// The copy that the run goes on from.
-    pub from: Option<RunCopy>,
+    pub resume_from: Option<RunCopy>,
     /// The last event that is not to come again.
     pub after: Option<u64>,
 }
@@ -64,7 +64,7 @@
 
 /// A request that got no answer.
 #[derive(Debug)]
-pub enum Lost {
+pub enum SendError {
     /// No byte of it was sent; the proof comes back.
     Unsent {
         /// As it was handed over.
@@ -87,7 +87,7 @@
     /// The copy's name.
     pub handle: String,
     /// Events that the run had made.
-    pub made: u64,
+    pub events: u64,
 }
 
 /// A copy that was not made.
@@ -107,7 +107,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Health {
     /// Whether it is well.
-    pub well: bool,
+    pub healthy: bool,
     /// What the answer says of its server.
     pub remarks: Remarks,
 }
@@ -131,14 +131,14 @@
 }
 
 /// The way to backend servers.
-pub trait Wire: Send + Sync {
+pub trait BackendTransport: Send + Sync {
     /// Sends a request. The proof, there while the request has never run, is spent with the first byte.
     fn send<'a>(
         &'a self,
         call: &'a Call,
-        sending: Sending,
+        sending: SendOptions,
         proof: Option<NotSent>,
-    ) -> BoxFuture<'a, Result<Reply, Lost>>;
+    ) -> BoxFuture<'a, Result<Reply, SendError>>;
 
     /// Copies the memory of a run from `source` to `target`; with `last` the run is stopped first.
     fn copy<'a>(
@@ -162,7 +162,7 @@
     fn report(&self, server: SocketAddr, limit: Duration) -> BoxFuture<'_, Result<Report, String>>;
 
     /// Whether nothing listens at a server's address any more, as seen within `limit`.
-    fn is_gone(&self, server: SocketAddr, limit: Duration) -> BoxFuture<'_, bool>;
+    fn refuses_connections(&self, server: SocketAddr, limit: Duration) -> BoxFuture<'_, bool>;
 
     /// Frees a copy that is not needed.
     fn free<'a>(&'a self, source: SocketAddr, handle: &'a str) -> BoxFuture<'a, ()>;
@@ -261,7 +261,7 @@
 
 /// A value of the store that does not hold.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Undecodable(pub String);
+pub struct DecodeError(pub String);
 
 /// What lies where in the store, and how it reads.
 pub trait Schema: Send + Sync {
@@ -281,11 +281,11 @@
     /// The prefix of the daemons' records of roll-outs, by their services.
     fn rollout_records(&self) -> &str;
     /// Reads an order for a roll-out of a service.
-    fn rollout(&self, service: &str, value: &[u8]) -> Result<Order, Undecodable>;
+    fn rollout(&self, service: &str, value: &[u8]) -> Result<Order, DecodeError>;
     /// The key and the value that tell the operators how far a roll-out has come.
     fn rollout_status(&self, service: &str, version: &str, state: State) -> (String, Vec<u8>);
     /// Reads a declared configuration.
-    fn table(&self, value: &[u8]) -> Result<Table, Undecodable>;
+    fn table(&self, value: &[u8]) -> Result<Table, DecodeError>;
     /// Reads a backend server's entry.
-    fn server(&self, key: &str, value: &[u8]) -> Result<ServerRecord, Undecodable>;
+    fn server(&self, key: &str, value: &[u8]) -> Result<ServerRecord, DecodeError>;
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -7,10 +7,10 @@
 use crate::gateway::core::Gateway;
 use crate::gateway::events::Event;
 use crate::gateway::forward::Sent;
-use crate::gateway::moving::{self, Moved};
-use crate::gateway::port::{Reply, RunCopy, Sending};
+use crate::gateway::moving::{self, MoveOutcome};
+use crate::gateway::port::{Reply, RunCopy, SendOptions};
 use crate::gateway::quarantine::RunProgress;
-use crate::gateway::request::{Answer, BrokenOff, Call};
+use crate::gateway::request::{Answer, Call, IncompleteBody};
 use crate::gateway::slot::Slot;
 use crate::gateway::table::Service;
 use crate::gateway::upstream::{Step, Upstream, reopen};
@@ -27,29 +27,29 @@
 use tokio::time::timeout;
 
 /// Events that wait for a slow caller before its server is held up.
-const QUEUE: usize = 16;
+const EVENT_QUEUE: usize = 16;
 /// Moves tried for one run at one server.
-const MOST_MOVES: u32 = 4;
+const MAX_MOVES: u32 = 4;
 /// Pause before a run that could not be moved is tried again: about the time of one copy, after which
 /// there may be room elsewhere.
-const MOVE_PAUSE: Duration = Duration::from_millis(100);
+const MOVE_RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// Silence of a stream after which its server is asked whether the run goes on: longer than almost all
 /// pauses of a sound stream, and a small part of what callers wait.
-const SILENCE: Duration = Duration::from_millis(1_000);
+const SILENCE_BEFORE_PROBE: Duration = Duration::from_millis(1_000);
 /// Time between two such questions: reports are about so old.
-const LOOK_AGAIN: Duration = Duration::from_millis(500);
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 /// Longest time for the answer.
-const LOOK_LIMIT: Duration = Duration::from_millis(300);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long the last events of a stopped run may take to arrive after the copy is complete.
-const LAST_EVENTS: Duration = Duration::from_millis(60);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(60);
 /// How long a run whose stream has ended is waited for by its copy.
-const LAST_COPY: Duration = Duration::from_millis(2_500);
+const FINAL_COPY_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Time from the first event within which a run has just begun. A server that a request ends is gone 0.13 s
 /// after the beginning at the latest, as seen, and a busy daemon reads that some tenths later.
-const YOUNG: Duration = Duration::from_millis(500);
+const STARTUP_PERIOD: Duration = Duration::from_millis(500);
 
-type Out = mpsc::Sender<Result<Frame<Bytes>, BrokenOff>>;
+type EventSender = mpsc::Sender<Result<Frame<Bytes>, IncompleteBody>>;
 
 /// Waits for the first event, so that a server that fails before it can be replaced, then passes
 /// the stream on in a task of its own.
@@ -64,7 +64,7 @@
     let mut upstream = Upstream::new(body);
     let first = match upstream.next().await {
         Step::Event(event) => event,
-        Step::Ended | Step::Broke(_) => {
+        Step::Ended | Step::BrokeOff(_) => {
             slot.record_result(true);
             gateway.handle_lost_run(call, &slot, RunProgress::NoEvents).await;
             return Sent::Failed(None, "no_event");
@@ -75,8 +75,8 @@
     let (id, route) = (call.id.as_str(), call.route.name.as_str());
     let ms = time::since(call.arrived).as_millis() as u64;
     let knew = slot.store_age_ms();
-    info!(id = id, route = route, server = slot.id(), ms = ms, tokens = call.size.tokens(), knowledge_ms = knew; "stream begun");
-    let (out, events) = mpsc::channel(QUEUE);
+    info!(id = id, route = route, server = slot.id(), ms = ms, tokens = call.size.peak_tokens(), knowledge_ms = knew; "stream begun");
+    let (out, events) = mpsc::channel(EVENT_QUEUE);
     let relay = Relay {
         gateway: gateway.clone(),
         call: call.clone(),
@@ -84,14 +84,14 @@
         slot,
         upstream,
         last: call.after,
-        passed: time::now(),
+        passed_at: time::now(),
         began: None,
         survived: false,
         out,
         runs: 1,
         moves: 0,
-        stays: None,
-        looked: None,
+        failed_move: None,
+        last_probe: None,
     };
     tokio::spawn(relay.run(first));
     let events = futures_util::stream::unfold(events, |mut events| async {
@@ -116,8 +116,8 @@
     /// Id of the last event passed on.
     last: Option<u64>,
     /// When it was passed on.
-    passed: Instant,
-    out: Out,
+    passed_at: Instant,
+    out: EventSender,
     /// Runs begun for this answer.
     runs: u32,
     /// When the present server sent its first event.
@@ -127,14 +127,14 @@
     /// Moves tried from the present server.
     moves: u32,
     /// When the last of them came to nothing.
-    stays: Option<Instant>,
+    failed_move: Option<Instant>,
     /// What the server last said of a run whose stream is silent.
-    looked: Option<Looked>,
+    last_probe: Option<Probe>,
 }
 
 /// What a server said of a run.
 #[derive(Debug, Clone, Copy)]
-struct Looked {
+struct Probe {
     at: Instant,
     /// Events that the run had made; `None` where the server did not run it or did not answer.
     made: Option<u64>,
@@ -142,16 +142,16 @@
 
 /// A move under way.
 struct Moving {
-    done: BoxFuture<'static, Moved>,
+    done: BoxFuture<'static, MoveOutcome>,
     /// Whether the run was told to stop at its server.
     stopping: Arc<AtomicBool>,
 }
 
-enum Happened {
+enum Wakeup {
     OutOfTime,
     Notice,
     Silence,
-    Moved(Box<Moved>),
+    Moved(Box<MoveOutcome>),
     Step(Step),
 }
 
@@ -162,7 +162,7 @@
             biased;
             // Whatever is under way is given up with its caller.
             () = caller.closed() => End::CallerLeft,
-            end = self.pass_all_on(first) => end,
+            end = self.relay_all(first) => end,
         };
         let (id, server) = (self.call.id.as_str(), self.slot.id());
         match end {
@@ -178,12 +178,12 @@
                 let request = self.call.fingerprint().to_string();
                 warn!(id = id, request = request.as_str(), server = server, leaving = leaving, last = self.last, why = reason.as_str(); "stream cut");
                 // Refused only where the caller has left.
-                let _ = self.out.send(Err(BrokenOff { reason })).await;
+                let _ = self.out.send(Err(IncompleteBody { reason })).await;
             }
         }
     }
 
-    async fn pass_all_on(&mut self, first: Event) -> End {
+    async fn relay_all(&mut self, first: Event) -> End {
         match self.pass_on(first).await {
             Ok(()) => self.follow().await,
             Err(end) => end,
@@ -197,44 +197,44 @@
         loop {
             // Events come more often than the pause between moves, so that its end is not missed.
             let may_move = moving.is_none() && self.may_move(time::now());
-            let may_look = moving.is_none() && self.can_move();
-            let look = time::sleep_until(self.next_look());
-            let happened = tokio::select! {
+            let may_probe = moving.is_none() && self.can_move();
+            let look = time::sleep_until(self.next_probe());
+            let wakeup = tokio::select! {
                 biased;
-                () = &mut deadline => Happened::OutOfTime,
-                moved = finished(&mut moving) => Happened::Moved(Box::new(moved)),
-                () = noticed(&mut self.slot), if may_move => Happened::Notice,
-                step = self.upstream.next() => Happened::Step(step),
-                () = look, if may_look => Happened::Silence,
+                () = &mut deadline => Wakeup::OutOfTime,
+                moved = wait_for_move(&mut moving) => Wakeup::Moved(Box::new(moved)),
+                () = wait_for_notice(&mut self.slot), if may_move => Wakeup::Notice,
+                step = self.upstream.next() => Wakeup::Step(step),
+                () = look, if may_probe => Wakeup::Silence,
             };
-            let ended = match happened {
-                Happened::OutOfTime => return End::Broken("out of time".into()),
-                Happened::Notice => {
-                    moving = Some(self.start_moving("server leaves"));
+            let ended = match wakeup {
+                Wakeup::OutOfTime => return End::Broken("out of time".into()),
+                Wakeup::Notice => {
+                    moving = Some(self.start_move("server leaves"));
                     continue;
                 }
-                Happened::Silence => {
-                    if self.goes_on_unheard().await {
-                        moving = Some(self.start_moving("connection silent"));
+                Wakeup::Silence => {
+                    if self.progresses_at_server().await {
+                        moving = Some(self.start_move("connection silent"));
                     }
                     continue;
                 }
-                Happened::Moved(moved) => {
+                Wakeup::Moved(moved) => {
                     moving = None;
-                    self.moved(*moved).await
+                    self.handle_move(*moved).await
                 }
-                Happened::Step(Step::Event(event)) => self.pass_on(event).await,
-                Happened::Step(Step::Ended) => return End::Complete,
-                Happened::Step(Step::Broke(why)) => match is_stopping(&moving) {
-                    true => self.finish_moving(moving.take()).await,
+                Wakeup::Step(Step::Event(event)) => self.pass_on(event).await,
+                Wakeup::Step(Step::Ended) => return End::Complete,
+                Wakeup::Step(Step::BrokeOff(why)) => match is_stopping(&moving) {
+                    true => self.finish_move(moving.take()).await,
                     false => {
                         moving = None;
-                        if self.is_young(time::now()) {
+                        if self.is_starting_up(time::now()) {
                             let run =
                                 self.began.map_or(RunProgress::NoEvents, |_| RunProgress::Begun);
                             self.gateway.handle_lost_run(&self.call, &self.slot, run).await;
                         }
-                        self.run_again(why).await
+                        self.restart(why).await
                     }
                 },
             };
@@ -248,7 +248,7 @@
     async fn pass_on(&mut self, event: Event) -> Result<(), End> {
         let now = time::now();
         self.began.get_or_insert(now);
-        if !self.survived && !self.is_young(now) {
+        if !self.survived && !self.is_starting_up(now) {
             self.survived = true;
             self.gateway.note_survived(&self.call);
         }
@@ -256,9 +256,9 @@
             return Ok(());
         }
         self.last = event.id.or(self.last);
-        let pause = now.saturating_duration_since(self.passed);
-        self.passed = now;
-        self.looked = None;
+        let pause = now.saturating_duration_since(self.passed_at);
+        self.passed_at = now;
+        self.last_probe = None;
         let kind = self.call.route.kind.name();
         self.gateway.metrics.pause_seconds.with_label_values(&[kind]).observe(pause.as_secs_f64());
         let sent = self.out.send(Ok(Frame::data(event.bytes))).await;
@@ -267,30 +267,33 @@
 
     fn may_move(&self, now: Instant) -> bool {
         let again = self.call.route.repeatable();
-        let paused = self.stays.is_some_and(|at| now.saturating_duration_since(at) < MOVE_PAUSE);
+        let paused =
+            self.failed_move.is_some_and(|at| now.saturating_duration_since(at) < MOVE_RETRY_PAUSE);
         !again && !paused && self.can_move()
     }
 
     fn can_move(&self) -> bool {
-        self.moves < MOST_MOVES && self.service.engine.as_ref().is_some_and(|e| e.supports_moves)
+        self.moves < MAX_MOVES && self.service.engine.as_ref().is_some_and(|e| e.supports_moves)
     }
 
     /// When the server is to be asked about a silent stream.
-    fn next_look(&self) -> Instant {
-        self.looked.map_or(self.passed + SILENCE, |looked| looked.at + LOOK_AGAIN)
+    fn next_probe(&self) -> Instant {
+        self.last_probe.map_or(self.passed_at + SILENCE_BEFORE_PROBE, |last_probe| {
+            last_probe.at + PROBE_INTERVAL
+        })
     }
 
     /// Whether a run whose stream is silent goes on at its server: then it is the connection that is
     /// silent. A run that makes nothing, as one that waits for memory, stays where it is.
-    async fn goes_on_unheard(&mut self) -> bool {
+    async fn progresses_at_server(&mut self) -> bool {
         let now = time::now();
         if self.gateway.servers().is_backing_off(self.slot.key(), now) {
-            self.looked = Some(Looked { at: now, made: None });
+            self.last_probe = Some(Probe { at: now, made: None });
             return false;
         }
         let (server, run) = (self.slot.place.destination.addr, self.call.id.as_str());
         let asked = time::now();
-        let made = match self.gateway.wire.report(server, LOOK_LIMIT).await {
+        let made = match self.gateway.wire.report(server, PROBE_TIMEOUT).await {
             Ok(report) => {
                 self.gateway.handle_remarks(self.slot.key(), &report.remarks, asked);
                 report.runs.get(run).copied()
@@ -300,12 +303,12 @@
                 None
             }
         };
-        let before = self.looked.and_then(|looked| looked.made);
-        self.looked = Some(Looked { at: time::now(), made });
+        let before = self.last_probe.and_then(|last_probe| last_probe.made);
+        self.last_probe = Some(Probe { at: time::now(), made });
         made.zip(before).is_some_and(|(made, before)| made > before)
     }
 
-    fn start_moving(&mut self, why: &str) -> Moving {
+    fn start_move(&mut self, why: &str) -> Moving {
         self.moves += 1;
         info!(id = self.call.id.as_str(), server = self.slot.id(), last = self.last, why = why; "run is to be moved");
         let stopping = Arc::new(AtomicBool::new(false));
@@ -320,39 +323,39 @@
     }
 
     /// The run's stream has closed because the run was stopped: waits for its copy.
-    async fn finish_moving(&mut self, moving: Option<Moving>) -> Result<(), End> {
+    async fn finish_move(&mut self, moving: Option<Moving>) -> Result<(), End> {
         let Some(moving) = moving else {
             return Err(End::Broken("stopped without a copy".into()));
         };
-        match timeout(LAST_COPY, moving.done).await {
-            Ok(Moved::Stays(why)) => self.run_again(why.into()).await,
-            Ok(moved) => self.moved(moved).await,
-            Err(_) => self.run_again("the copy did not end".into()).await,
+        match timeout(FINAL_COPY_TIMEOUT, moving.done).await {
+            Ok(MoveOutcome::NotMoved(why)) => self.restart(why.into()).await,
+            Ok(moved) => self.handle_move(moved).await,
+            Err(_) => self.restart("the copy did not end".into()).await,
         }
     }
 
-    async fn moved(&mut self, moved: Moved) -> Result<(), End> {
+    async fn handle_move(&mut self, moved: MoveOutcome) -> Result<(), End> {
         match moved {
-            Moved::Stays(why) => {
+            MoveOutcome::NotMoved(why) => {
                 self.count_move(why);
-                self.stays = Some(time::now());
+                self.failed_move = Some(time::now());
                 info!(id = self.call.id.as_str(), server = self.slot.id(), why = why; "run not moved");
                 Ok(())
             }
-            Moved::Stopped { kept, slot } => {
+            MoveOutcome::Stopped { kept, slot } => {
                 self.drain_upstream().await?;
-                self.go_on(kept, Some(*slot)).await
+                self.resume(kept, Some(*slot)).await
             }
-            Moved::SourceKeeps(kept) => {
+            MoveOutcome::KeptAtSource(kept) => {
                 self.drain_upstream().await?;
-                self.go_on(kept, None).await
+                self.resume(kept, None).await
             }
         }
     }
 
     /// Passes on what a stopped run still sent.
     async fn drain_upstream(&mut self) -> Result<(), End> {
-        let until = time::now() + LAST_EVENTS;
+        let until = time::now() + DRAIN_TIMEOUT;
         while let Some(Step::Event(event)) = time::timeout_at(until, self.upstream.next()).await {
             self.pass_on(event).await?;
         }
@@ -361,15 +364,19 @@
 
     /// Goes on from a copy at another server, or from what the stopped run left at its own. It is
     /// the same run, accepted while its key held: a key that was taken away since does not cut it.
-    async fn go_on(&mut self, kept: RunCopy, slot: Option<Slot>) -> Result<(), End> {
+    async fn resume(&mut self, kept: RunCopy, slot: Option<Slot>) -> Result<(), End> {
         let to = slot
             .as_ref()
             .map_or(&self.slot.place.destination, |slot| &slot.place.destination)
             .clone();
         let now = time::now();
         let key = slot.as_ref().map_or(self.slot.key(), Slot::key);
-        let sending =
-            Sending { to, left: self.call.left(now), from: Some(kept.clone()), after: self.last };
+        let sending = SendOptions {
+            to,
+            time_left: self.call.time_left(now),
+            resume_from: Some(kept.clone()),
+            after: self.last,
+        };
         let elsewhere = slot.is_some();
         if !elsewhere {
             self.gateway.servers().use_quota(key);
@@ -396,7 +403,7 @@
             Err(why) => why,
         };
         warn!(id = self.call.id.as_str(), why = why.as_str(), elsewhere = elsewhere; "run not taken over");
-        if elsewhere { Box::pin(self.go_on(kept, None)).await } else { self.run_again(why).await }
+        if elsewhere { Box::pin(self.resume(kept, None)).await } else { self.restart(why).await }
     }
 
     fn count_move(&self, outcome: &str) {
@@ -404,12 +411,12 @@
     }
 
     /// Whether the run has begun at its present server just now.
-    fn is_young(&self, now: Instant) -> bool {
-        self.began.is_none_or(|began| now.saturating_duration_since(began) < YOUNG)
+    fn is_starting_up(&self, now: Instant) -> bool {
+        self.began.is_none_or(|began| now.saturating_duration_since(began) < STARTUP_PERIOD)
     }
 
     /// Runs the request anew at another server, from the last event on, where it may run again.
-    async fn run_again(&mut self, why: String) -> Result<(), End> {
+    async fn restart(&mut self, why: String) -> Result<(), End> {
         let now = time::now();
         self.slot.record_result(true);
         let allowed = self.call.route.may_run_again(self.runs);
@@ -423,10 +430,10 @@
             return Err(End::Broken(why));
         };
         self.runs += 1;
-        let sending = Sending {
+        let sending = SendOptions {
             to: slot.place.destination.clone(),
-            left: self.call.left(now),
-            from: None,
+            time_left: self.call.time_left(now),
+            resume_from: None,
             after: self.last,
         };
         let request = self.call.fingerprint().to_string();
@@ -446,7 +453,7 @@
     moving.as_ref().is_some_and(|m| m.stopping.load(Ordering::Relaxed))
 }
 
-async fn finished(moving: &mut Option<Moving>) -> Moved {
+async fn wait_for_move(moving: &mut Option<Moving>) -> MoveOutcome {
     match moving {
         Some(moving) => moving.done.as_mut().await,
         None => std::future::pending().await,
@@ -454,7 +461,7 @@
 }
 
 /// Returns once the server is about to leave.
-async fn noticed(slot: &mut Slot) {
+async fn wait_for_notice(slot: &mut Slot) {
     // An error means that the server is no longer in the table: it has gone as well.
     drop(slot.notice.wait_for(|leaving| *leaving).await);
 }
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -15,18 +15,18 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Size {
     /// Tokens of the prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Most tokens of the answer.
-    pub most: u32,
+    pub max_tokens: u32,
     /// Tokens of the answer that the caller expects.
-    pub hint: Option<u32>,
+    pub expected_tokens: Option<u32>,
 }
 
 impl Size {
     /// Memory that the generation is expected to hold at its end, in tokens.
-    pub fn tokens(&self) -> u32 {
-        let out = self.hint.map_or(self.most, |hint| hint.min(self.most));
-        self.prompt.saturating_add(out)
+    pub fn peak_tokens(&self) -> u32 {
+        let out = self.expected_tokens.map_or(self.max_tokens, |hint| hint.min(self.max_tokens));
+        self.prompt_tokens.saturating_add(out)
     }
 }
 
@@ -37,8 +37,8 @@
 
 impl Size {
     /// Time that the generation may take; nothing for plain services.
-    pub fn longest(&self) -> Duration {
-        match self.most {
+    pub fn max_duration(&self) -> Duration {
+        match self.max_tokens {
             0 => Duration::ZERO,
             most => FIRST_TOKEN_TIME + TOKEN_TIME.saturating_mul(most),
         }
@@ -70,7 +70,7 @@
     /// The whole body.
     pub body: Bytes,
     /// The part of the memory for bodies that it takes, as long as the request lives.
-    pub held: Option<Arc<OwnedSemaphorePermit>>,
+    pub body_permit: Option<Arc<OwnedSemaphorePermit>>,
     /// The route in force when it arrived.
     pub route: Arc<Route>,
     /// Present where the route needs a key.
@@ -84,31 +84,31 @@
     /// The last event that the caller has of a stream it continues.
     pub after: Option<u64>,
     /// Its fingerprint, once it is needed.
-    pub print: OnceLock<Fingerprint>,
+    pub cached_fingerprint: OnceLock<Fingerprint>,
 }
 
 impl Call {
     /// Time left until the final answer is due.
-    pub fn left(&self, now: Instant) -> Duration {
+    pub fn time_left(&self, now: Instant) -> Duration {
         self.deadline.saturating_duration_since(now)
     }
 
     /// What makes the request known again beyond this attempt.
     pub fn fingerprint(&self) -> Fingerprint {
-        *self.print.get_or_init(|| Fingerprint::of(self))
+        *self.cached_fingerprint.get_or_init(|| Fingerprint::of(self))
     }
 }
 
 /// Why a body ended before its time.
 #[derive(Debug, Clone, Snafu)]
 #[snafu(display("the answer broke off: {reason}; send the request again if it may run twice"))]
-pub struct BrokenOff {
+pub struct IncompleteBody {
     /// What was seen.
     pub reason: String,
 }
 
 /// The body of an answer.
-pub type AnswerBody = UnsyncBoxBody<Bytes, BrokenOff>;
+pub type AnswerBody = UnsyncBoxBody<Bytes, IncompleteBody>;
 
 /// A body that is there as a whole.
 pub fn full_body(bytes: impl Into<Bytes>) -> AnswerBody {
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -69,12 +69,12 @@
 impl Load {
     /// The load of one request whose prompt is not processed yet.
     pub fn of(size: Size, repeatable: bool) -> Load {
-        let tokens = size.tokens().max(1);
+        let tokens = size.peak_tokens().max(1);
         let once = if repeatable { 0 } else { tokens };
         Load {
             runs: 1,
             tokens,
-            unread_prompt: size.prompt,
+            unread_prompt: size.prompt_tokens,
             non_repeatable: once,
             incoming_copies: 0,
         }
--- a/src/gateway/suspicion.rs
+++ b/src/gateway/suspicion.rs
@@ -44,7 +44,7 @@
     /// nothing listens at the address, and of the evidence against the request.
     pub(crate) async fn handle_lost_run(&self, call: &Call, slot: &Slot, run: RunProgress) {
         if *slot.notice.borrow()
-            || !self.wire.is_gone(slot.place.destination.addr, PROBE_TIMEOUT).await
+            || !self.wire.refuses_connections(slot.place.destination.addr, PROBE_TIMEOUT).await
         {
             return;
         }
--- a/src/gateway/upstream.rs
+++ b/src/gateway/upstream.rs
@@ -2,7 +2,7 @@
 
 use crate::gateway::core::Gateway;
 use crate::gateway::events::{Event, Splitter};
-use crate::gateway::port::{Lost, Sending};
+use crate::gateway::port::{SendError, SendOptions};
 use crate::gateway::request::{AnswerBody, Call};
 use crate::gateway::servers::ServerKey;
 use crate::time;
@@ -21,7 +21,7 @@
     /// Its end.
     Ended,
     /// It broke off, with the reason.
-    Broke(String),
+    BrokeOff(String),
 }
 
 impl Upstream {
@@ -40,12 +40,12 @@
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else { continue };
                     if self.splitter.push(&data).is_err() {
-                        return Step::Broke("an event without end".into());
+                        return Step::BrokeOff("an event without end".into());
                     }
                 }
-                Some(Err(e)) => return Step::Broke(e.reason),
-                None if self.splitter.is_inside() => {
-                    return Step::Broke("ended inside an event".into());
+                Some(Err(e)) => return Step::BrokeOff(e.reason),
+                None if self.splitter.has_partial_event() => {
+                    return Step::BrokeOff("ended inside an event".into());
                 }
                 None => return Step::Ended,
             }
@@ -58,7 +58,7 @@
     gateway: &Gateway,
     call: &Call,
     server: ServerKey,
-    sending: Sending,
+    sending: SendOptions,
 ) -> Result<Upstream, String> {
     let now = time::now();
     gateway.record_store_age(now);
@@ -70,6 +70,6 @@
     match sent {
         Ok(reply) if reply.status.is_success() => Ok(Upstream::new(reply.body)),
         Ok(reply) => Err(format!("answered {}", reply.status.as_u16())),
-        Err(Lost::Unsent { reason, .. } | Lost::Unanswered { reason }) => Err(reason),
+        Err(SendError::Unsent { reason, .. } | SendError::Unanswered { reason }) => Err(reason),
     }
 }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -395,7 +395,7 @@
                 got.push((event.id, event.bytes));
             }
         }
-        prop_assert!(!splitter.is_inside());
+        prop_assert!(!splitter.has_partial_event());
         // A later line of the text may be an id itself, and one without a number.
         let names_itself = |t: &String| t.split('\n').skip(1).any(|line| line.starts_with("id:"));
         let id = |i: usize| (!names_itself(&texts[i])).then_some(i as u64);
@@ -413,7 +413,7 @@
             taken += event.bytes.len();
         }
         prop_assert!(taken <= bytes.len());
-        prop_assert_eq!(splitter.is_inside(), taken < bytes.len());
+        prop_assert_eq!(splitter.has_partial_event(), taken < bytes.len());
     }
 }
 
--- a/tests/mirror/stand_ins.rs
+++ b/tests/mirror/stand_ins.rs
@@ -14,8 +14,8 @@
 use tidestair::gateway::mirror::Mirror;
 use tidestair::gateway::place::Headroom;
 use tidestair::gateway::port::{
-    CopyAnswer, Destination, Health, Lost, NotCopied, Reply, Report, Schema, Sending, Undecodable,
-    Wire,
+    BackendTransport, CopyAnswer, DecodeError, Destination, Health, NotCopied, Reply, Report,
+    Schema, SendError, SendOptions,
 };
 use tidestair::gateway::regions::Regions;
 use tidestair::gateway::request::Call;
@@ -29,16 +29,16 @@
 /// A wire that is never used.
 pub struct NoWire;
 
-impl Wire for NoWire {
+impl BackendTransport for NoWire {
     fn send<'a>(
         &'a self,
         _: &'a Call,
-        _: Sending,
+        _: SendOptions,
         proof: Option<NotSent>,
-    ) -> BoxFuture<'a, Result<Reply, Lost>> {
-        Box::pin(
-            async move { Err(Lost::Unsent { proof, refused: false, reason: "no wire".into() }) },
-        )
+    ) -> BoxFuture<'a, Result<Reply, SendError>> {
+        Box::pin(async move {
+            Err(SendError::Unsent { proof, refused: false, reason: "no wire".into() })
+        })
     }
 
     fn copy<'a>(
@@ -58,14 +58,14 @@
         _: &'a str,
         _: Duration,
     ) -> BoxFuture<'a, Result<Health, String>> {
-        Box::pin(async { Ok(Health { well: true, remarks: Remarks::default() }) })
+        Box::pin(async { Ok(Health { healthy: true, remarks: Remarks::default() }) })
     }
 
     fn report(&self, _: SocketAddr, _: Duration) -> BoxFuture<'_, Result<Report, String>> {
         Box::pin(async { Ok(Report::default()) })
     }
 
-    fn is_gone(&self, _: SocketAddr, _: Duration) -> BoxFuture<'_, bool> {
+    fn refuses_connections(&self, _: SocketAddr, _: Duration) -> BoxFuture<'_, bool> {
         Box::pin(async { false })
     }
 
@@ -112,7 +112,7 @@
         "rollouts/"
     }
 
-    fn rollout(&self, _: &str, value: &[u8]) -> Result<Order, Undecodable> {
+    fn rollout(&self, _: &str, value: &[u8]) -> Result<Order, DecodeError> {
         let version = String::from_utf8_lossy(value);
         Ok(Order { version: version.into(), time_limit: Duration::from_secs(10) })
     }
@@ -121,9 +121,9 @@
         (format!("status/{service}"), state.name().into())
     }
 
-    fn table(&self, value: &[u8]) -> Result<Table, Undecodable> {
+    fn table(&self, value: &[u8]) -> Result<Table, DecodeError> {
         let text = String::from_utf8_lossy(value);
-        let version = text.parse().map_err(|_| Undecodable(text.into_owned()))?;
+        let version = text.parse().map_err(|_| DecodeError(text.into_owned()))?;
         let limits = Limits {
             header_bytes: 1,
             body_bytes: 1,
@@ -133,10 +133,10 @@
         Ok(Table::new(version, limits, Vec::new(), Vec::new(), Vec::new()))
     }
 
-    fn server(&self, key: &str, value: &[u8]) -> Result<ServerRecord, Undecodable> {
+    fn server(&self, key: &str, value: &[u8]) -> Result<ServerRecord, DecodeError> {
         let text = String::from_utf8_lossy(value);
         if text.starts_with('?') {
-            return Err(Undecodable(text.into_owned()));
+            return Err(DecodeError(text.into_owned()));
         }
         let id = key.trim_start_matches("servers/");
         let start = text.split('.').next().and_then(|text| text.split_once('@'));
