--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -1,23 +1,23 @@
-//! Whole events out of the bytes of an event stream.
+//! Splits the bytes of a server-sent event stream into complete events.
 //!
-//! Events are passed on as they came, byte for byte; only their ids are read. A stream that
-//! breaks off inside an event leaves the piece behind, so that a continuation starts clean.
+//! Events are forwarded byte for byte; only their ids are parsed. If a stream breaks off inside an event, the
+//! partial event is not forwarded, so that a continuation starts at an event boundary.
 
 use bytes::{Bytes, BytesMut};
 
-/// Most bytes that an event may take before the stream is taken as broken.
+/// Size limit of buffered data, in bytes; a stream that exceeds it is treated as broken.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One event.
+/// A complete event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Its id, where it has one.
+    /// The event's id, if it has a numeric one.
     pub id: Option<u64>,
-    /// Its bytes with the blank line that ends it.
+    /// The raw bytes, including the blank line that ends the event.
     pub bytes: Bytes,
 }
 
-/// An event that grew past any bound.
+/// The buffered data exceeds the size limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EventTooLong;
 
@@ -25,12 +25,12 @@
 #[derive(Debug, Default)]
 pub struct Splitter {
     buffer: BytesMut,
-    /// Bytes of `buffer` that were searched and hold no end of an event.
+    /// Number of leading bytes of `buffer` known to contain no end of an event.
     searched: usize,
 }
 
 impl Splitter {
-    /// Takes in the next bytes of the stream.
+    /// Appends the next bytes of the stream.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), EventTooLong> {
         if self.buffer.len() + bytes.len() > MAX_EVENT_BYTES {
             return Err(EventTooLong);
@@ -39,10 +39,10 @@
         Ok(())
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event.
     pub fn take(&mut self) -> Option<Event> {
         let Some(end) = self.find_end() else {
-            // The last three bytes may be the start of a blank line.
+            // The last three bytes may be the start of a blank line, so they are searched again.
             self.searched = self.buffer.len().saturating_sub(3);
             return None;
         };
@@ -51,11 +51,12 @@
         Some(Event { id: id(&bytes), bytes })
     }
 
-    /// Whether the stream stands inside an event.
+    /// Whether a partial event is buffered.
     pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
+    /// Returns the offset just after the blank line that ends the first event.
     fn find_end(&self) -> Option<usize> {
         let from = self.searched;
         let bytes = &self.buffer[from..];
@@ -73,7 +74,7 @@
     }
 }
 
-/// The value of the last `id` line.
+/// Parses the value of the event's last `id` line.
 fn id(event: &[u8]) -> Option<u64> {
     let lines = event.split(|b| *b == b'\n');
     let last = lines.rev().find_map(|line| line.strip_prefix(b"id:"))?;
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -1,4 +1,4 @@
-//! A request's way: place, send, follow, send again where that is allowed, answer.
+//! Forwards a request: picks a server, sends, retries where that is allowed, and answers the caller.
 
 use crate::gateway::admission::{self, AdmissionClass};
 use crate::gateway::core::Gateway;
@@ -21,43 +21,43 @@
 use std::time::{Duration, Instant};
 use tokio::time::timeout;
 
-/// Largest answer of a plain service that is held until it is whole.
+/// Largest response of a plain service that is buffered until it is complete, in bytes.
 const MAX_BUFFERED: usize = 256 << 10;
-/// Most sendings of one request, refusals by servers included.
+/// Most times that one request may reach a server, including refusals by servers.
 const MAX_SENDINGS: usize = 4;
-/// Servers besides that may be tried and not reached before a request is given up. Each may take as
-/// long as a connection is waited for, so that a plain request's aim is past.
+/// Number of unreachable servers, counted separately, after which a request is given up. Each may take the whole
+/// connect timeout, so by then a plain request has missed its latency target.
 const MAX_UNREACHED: usize = 4;
-/// Part of a plain route's aim after which a silent server is given up for another one.
+/// Fraction of a plain route's latency target after which a silent server is given up for another one.
 const SILENCE_FRACTION: f64 = 0.6;
 
-/// What one sending came to. The proof is there while the request has never run.
+/// The outcome of one send. The proof is present as long as the request has never run.
 pub(crate) enum Sent {
-    /// An answer for the caller, whole or begun.
+    /// A response for the caller, complete or streaming.
     Answered(Answer),
-    /// It may have run and failed; with the server's answer, where there is one to pass on.
+    /// The request may have run and failed; with the server's response, if there is one to pass on.
     Failed(Option<Answer>, &'static str),
-    /// No connection came about: nothing arrived at the server.
+    /// No connection was established: nothing arrived at the server.
     NotReached(Option<NotSent>),
-    /// This sending did not run.
+    /// The server did not run the request.
     NotRun(Option<NotSent>, &'static str),
 }
 
-/// One request on its way.
+/// The state of one request across its sends.
 struct Attempts<'a> {
     gateway: &'a Arc<Gateway>,
     call: &'a Arc<Call>,
     service: Arc<Service>,
-    /// Servers that were tried.
+    /// Servers that were tried, in order.
     tried: Vec<ServerKey>,
-    /// How many of them were not reached: the request never arrived there.
+    /// How many of these were unreachable, so that the request never arrived there.
     unreached: usize,
-    /// Sendings that may have run.
+    /// Number of sends that may have run.
     runs: u32,
 }
 
 impl Gateway {
-    /// Answers a request by its deadline.
+    /// Forwards a request and returns the response, at the latest at the deadline.
     pub async fn answer(self: &Arc<Self>, call: Call) -> Result<Answer, Failure> {
         let call = Arc::new(call);
         let attempt = self.attempt(&call);
@@ -96,7 +96,7 @@
 impl Attempts<'_> {
     async fn run(mut self, proof: NotSent) -> Result<Answer, Failure> {
         let mut proof = Some(proof);
-        // The latest answer of a server that failed the request.
+        // The latest error response of a server.
         let mut fallback = None;
         loop {
             let slot = match self.next_slot_or_borrow_quota().await {
@@ -127,7 +127,8 @@
         }
     }
 
-    /// The next server to try; where only servers in need could have room, also with a peer's.
+    /// Picks the next server to try. If only limited servers are left and this daemon has no quota for them, borrows
+    /// quota from a peer.
     async fn next_slot_or_borrow_quota(&self) -> Result<Slot, NoSlot> {
         let now = time::now();
         match self.next_slot(now) {
@@ -141,7 +142,7 @@
         }
     }
 
-    /// The next server to try, where the rules and the budget allow one.
+    /// Picks the next server to try, if the rules and the budget allow another send.
     fn next_slot(&self, now: Instant) -> Result<Slot, NoSlot> {
         if !self.gateway.is_authorized(self.call, now) {
             return Err("key_not_confirmed".into());
@@ -154,7 +155,7 @@
             let (servers, why) = (self.gateway.servers(), "servers_refuse".into());
             return Err(self.gateway.after_backoff(why, &servers, &self.service, self.call, now));
         }
-        // Only what arrives at a server beyond the first time counts as a repeat.
+        // Only a send after one that arrived at a server counts as a repeat.
         match arrived {
             0 => {
                 let admission_class = self.admission_class();
@@ -173,7 +174,7 @@
         }
     }
 
-    /// How the request stands to those that wait; one that continues a stream which broke off has begun.
+    /// The request's admission class. A request that continues an interrupted stream counts as begun.
     fn admission_class(&self) -> AdmissionClass {
         let call = self.call;
         match call.after {
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Sends; a silent server is given up in time for another one where that may run too.
+    /// Sends the request. If it may run again, a silent server is given up in time to try another one.
     async fn send_with_timeout(&self, slot: Slot, proof: Option<NotSent>) -> Sent {
         let (key, trial) = (slot.key(), slot.rollout_sample);
         let Some(limit) = self.silence_timeout(&slot) else {
@@ -221,7 +222,7 @@
             return Sent::NotRun(declared(), "replaced");
         }
         if reply.declined && matches!(reply.status.as_u16(), 408 | 429 | 503) {
-            // It is idle, and would seem free to each daemon that it has not yet turned away.
+            // A server that declines is idle, so it looks free to every daemon that it has not declined yet.
             slot.record_refusal();
             return Sent::NotRun(declared(), "declined");
         }
@@ -265,7 +266,7 @@
         }
     }
 
-    /// How long a silent server is waited for while another run is allowed.
+    /// How long to wait for a silent server; `None` (no limit) if the request may not run again.
     fn silence_timeout(&self, slot: &Slot) -> Option<Duration> {
         if !self.call.route.may_run_again(self.runs + 1) {
             return None;
@@ -293,7 +294,7 @@
         info!(id = id, route = route, request = request.as_str(), server = server, sending = self.tried.len(), why = why; "{what}");
     }
 
-    /// The final answer to a request that is not sent any more.
+    /// The final response to a request that is not sent again.
     fn give_up(
         &self,
         proof: Option<NotSent>,
@@ -317,13 +318,13 @@
     }
 }
 
-/// A refusal of a request that did not run.
+/// The failure for a request that did not run.
 pub(crate) fn refused(proof: NotSent, why: NoSlot) -> Failure {
     let reason = Reason::new(503, why.reason, "not run; send the request again after Retry-After");
     Failure::not_run(proof, reason.retry_after(why.retry_after.as_millis() as u64))
 }
 
-/// Reads a plain answer until it is whole; one that is too large is passed on as it comes.
+/// Reads a plain response until it is complete; one that exceeds [`MAX_BUFFERED`] is streamed to the caller.
 async fn read_answer(reply: Reply) -> Result<Answer, IncompleteBody> {
     let Reply { status, headers, mut body, .. } = reply;
     let mut buffered = BytesMut::new();
@@ -338,7 +339,7 @@
     Ok(Answer { status, headers, body: full_body(buffered.freeze()) })
 }
 
-/// A body whose first part has been read.
+/// Puts the part that has been read back in front of a body.
 fn with_first_part(first: Bytes, rest: AnswerBody) -> AnswerBody {
     let first = futures_util::stream::once(async { Ok(Frame::data(first)) });
     StreamBody::new(first.chain(BodyStream::new(rest))).boxed_unsync()
--- a/src/gateway/listen.rs
+++ b/src/gateway/listen.rs
@@ -1,4 +1,4 @@
-//! Listening for HTTP requests through the phases of a planned stop.
+//! Accepts HTTP connections, and stops doing so in phases on a graceful shutdown.
 
 use crate::error::{Error, Result};
 use crate::gateway::request::AnswerBody;
@@ -18,67 +18,67 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// The parser's least buffer, in bytes.
+/// Smallest read buffer of a connection, in bytes: the HTTP parser accepts no smaller one.
 const MIN_BUFFER_BYTES: usize = 8 << 10;
-/// Pause after a connection could not be taken, as when descriptors run out.
+/// Delay after a failed accept, for example when file descriptors run out.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// How far a planned stop has come.
+/// Progress of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Takes callers.
+    /// Normal operation.
     Serving,
-    /// Callers are sent elsewhere; those that still come are served.
+    /// Callers are directed to other daemons; requests that still arrive are served.
     Leaving,
-    /// Takes no new connections or requests; those begun go on.
+    /// New connections and requests are not accepted; running requests continue.
     Closing,
 }
 
-/// Bounds on one connection.
+/// Limits for one connection.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionLimits {
-    /// Largest head of a request, in bytes.
+    /// Largest request head, in bytes.
     pub max_header_bytes: usize,
-    /// Longest time without a whole head, rest between requests included.
+    /// Longest time to wait for a complete request head, including idle time between requests.
     pub idle_timeout: Duration,
 }
 
-/// Connections that are open, and how many may be.
+/// Counts open connections and limits their number.
 #[derive(Debug)]
 pub struct OpenConnections {
     count: AtomicUsize,
     max: usize,
 }
 
-/// What answers requests.
+/// Answers requests.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request. With `leaving` the caller should not use the connection again.
+    /// Answers one request. If `leaving` is set, the caller should not reuse the connection.
     fn answer(
         &self,
         request: Request<Incoming>,
         leaving: bool,
     ) -> BoxFuture<'static, Response<AnswerBody>>;
-    /// Bounds on a new connection.
+    /// Limits for a new connection.
     fn limits(&self) -> ConnectionLimits;
 }
 
 impl OpenConnections {
-    /// None yet, of `most`.
+    /// Creates a counter that admits up to `max` connections.
     pub fn new(max: usize) -> OpenConnections {
         OpenConnections { count: AtomicUsize::new(0), max }
     }
 
-    /// How many.
+    /// Number of open connections.
     pub fn count(&self) -> usize {
         self.count.load(Ordering::Relaxed)
     }
 
-    /// Whether no further one is taken.
+    /// Whether the limit is reached.
     pub fn is_full(&self) -> bool {
         self.count() >= self.max
     }
 
-    /// Counts one more; `None` where too many are open.
+    /// Counts a new connection; `None` if the limit is reached.
     fn enter(self: &Arc<Self>) -> Option<ConnectionGuard> {
         if self.is_full() {
             return None;
@@ -88,7 +88,7 @@
     }
 }
 
-/// One connection among those that are open.
+/// Counts as one open connection until dropped.
 struct ConnectionGuard(Arc<OpenConnections>);
 
 impl Drop for ConnectionGuard {
@@ -97,20 +97,20 @@
     }
 }
 
-/// Listens on an address.
+/// Binds a listener to an address.
 pub async fn bind(addr: SocketAddr) -> Result<TcpListener> {
     let refused =
         |e: std::io::Error| Error::Listen { addr: addr.to_string(), reason: e.to_string() };
     TcpListener::bind(addr).await.map_err(refused)
 }
 
-/// Where a listener listens.
+/// The address of a listener.
 pub fn addr(listener: &TcpListener) -> Result<SocketAddr> {
     let unknown = |e: std::io::Error| Error::Listen { addr: "?".into(), reason: e.to_string() };
     listener.local_addr().map_err(unknown)
 }
 
-/// Takes connections until the phase is [`Phase::Closing`].
+/// Accepts connections until the phase is [`Phase::Closing`].
 pub async fn serve(
     listener: TcpListener,
     handler: Arc<dyn Handler>,
@@ -125,7 +125,7 @@
         match accepted {
             Ok((stream, _)) => {
                 let Some(guard) = open.enter() else {
-                    // Closed unread: the caller may try another daemon with any request.
+                    // Closed before anything is read, so that the caller can safely retry any request at another daemon.
                     debug!("connection over the limit closed");
                     continue;
                 };
@@ -177,8 +177,8 @@
     }
 }
 
-/// Returns once no new connections or requests are taken.
+/// Returns once the phase is [`Phase::Closing`].
 async fn wait_for_closing(phase: &mut watch::Receiver<Phase>) {
-    // An error means that the daemon itself has ended.
+    // The wait fails only if the sender was dropped: the daemon itself has stopped.
     drop(phase.wait_for(|phase| *phase == Phase::Closing).await);
 }
--- a/src/gateway/moving.rs
+++ b/src/gateway/moving.rs
@@ -1,9 +1,9 @@
-//! Carrying a running generation over from a server that is about to leave.
+//! Moves a running generation away from a server that is about to leave.
 //!
-//! Its memory is copied while it runs; then it is stopped, and the little that is new is copied.
-//! The pause that its caller sees is this last copy and one round trip, as long as no other copy
-//! lies before it on the server's link. So runs are moved one after the other: a daemon waits for
-//! those that rank before it, by what they say they still have there.
+//! The run's memory is copied while it runs. Then the run is stopped and what it has added since is copied. The
+//! pause that the caller sees is this last copy and one round trip, provided that no other copy is queued before it
+//! on the server's link. Runs are therefore moved one after another: a daemon waits for the daemons that rank
+//! before it, judging by the memory that they report to have left at the server.
 
 use crate::gateway::budget::RetryKind;
 use crate::gateway::core::Gateway;
@@ -19,38 +19,38 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Pause before a copy is asked for again where the server was busy with it or had not begun the run.
+/// Delay before a copy is requested again if the server was busy with another copy or had not begun the run.
 const RETRY_PAUSE: Duration = Duration::from_millis(25);
-/// A copy of what is new that takes no longer finds the links quiet: the run can be stopped for the
-/// last copy, and its caller sees about such a pause.
+/// If an incremental copy takes no longer than this, the links are idle enough: the run can be stopped for the
+/// last copy, and its caller sees a pause of about this length.
 const QUIET_COPY_TIME: Duration = Duration::from_millis(70);
-/// Time after the notice at which a run is stopped even on busy links. A server is gone 1.5 s after
+/// Time after the server's notice at which a run is stopped even on busy links. A server is gone 1.5 s after
 /// it gives notice, sometimes a little later.
 const STOP_AFTER: Duration = Duration::from_millis(1_250);
-/// Copies take up to this many times as long as the link's bandwidth says: twice to other halls, and
-/// a little for each exchange.
+/// Copies take up to this many times as long as the link's bandwidth suggests: twice as long to other halls,
+/// plus some time for each exchange.
 const COPY_SLACK: f64 = 2.2;
-/// Time between two looks at what other daemons still have at a server.
+/// Interval between checks of what other daemons still have at a server.
 const POLL_INTERVAL: Duration = Duration::from_millis(4);
-/// Tries of one copy that is refused for such a passing reason.
+/// Most tries of one copy that is refused for a temporary reason.
 const MAX_TRIES: u32 = 12;
 
-/// What a move came to.
+/// The outcome of a move.
 pub(crate) enum MoveOutcome {
-    /// The run was stopped and its memory is whole at the server of the slot.
+    /// The run was stopped, and all its memory is at the slot's server.
     Stopped {
         /// The copy.
         kept: RunCopy,
-        /// The server that holds it.
+        /// The slot at the server that holds it.
         slot: Box<Slot>,
     },
-    /// The run was stopped, and only its own server holds its memory.
+    /// The run was stopped, and its memory is only at the server it ran on.
     KeptAtSource(RunCopy),
-    /// The run goes on where it is.
+    /// The run continues at its server, for this reason.
     NotMoved(&'static str),
 }
 
-/// Moves a run to another server. `stopping` turns true right before the run is told to stop.
+/// Moves a run to another server. `stopping` is set right before the run is told to stop.
 pub(crate) async fn move_run(
     gateway: Arc<Gateway>,
     call: Arc<Call>,
@@ -81,11 +81,12 @@
             Err(_) => return MoveOutcome::NotMoved("copy_refused"),
         }
     };
-    // Copies may have taken a second, and a run that has stopped must go on somewhere.
+    // Copying may have taken a second, and a stopped run must be able to continue somewhere.
     if !gateway.servers().accepts_in_flight(slot.key(), time::now()) {
         return MoveOutcome::NotMoved("target_rests");
     }
-    // Only what goes on elsewhere is a repeat, and other runs may have spent the last one meanwhile.
+    // The budget is charged only now, as only a run that continues elsewhere counts as a repeat. Other runs may
+    // have used up the budget meanwhile.
     if !gateway.spend_retry(&service.name, RetryKind::Continuation, time::now()) {
         return MoveOutcome::NotMoved("no_repeat_left");
     }
@@ -105,11 +106,11 @@
     }
 }
 
-/// A copy that was made ahead; it is freed where nothing comes of the move.
+/// A copy made while the run continues. It is freed on drop unless the move succeeds.
 struct PreCopy {
     gateway: Arc<Gateway>,
     from: SocketAddr,
-    /// `None` once it is needed.
+    /// The copy to free on drop; `None` once the move has succeeded.
     handle: Option<String>,
 }
 
@@ -122,8 +123,8 @@
     }
 }
 
-/// Waits until the daemons that rank before this one have moved their runs away from the server, or
-/// until that should have been done.
+/// Waits until the daemons that rank before this one have moved their runs away from the server, or until they
+/// make no progress for the time that this should take.
 async fn wait_for_others(gateway: &Gateway, service: &Service, source: &Placement) {
     let Some(engine) = &service.engine else {
         return;
@@ -141,13 +142,13 @@
     }
 }
 
-/// Time to copy so many tokens, with time for those that go to other halls.
+/// Time to copy the memory of so many tokens, allowing for copies to other halls.
 fn copy_time(tokens: u32, engine: &Engine) -> Duration {
     let bits = f64::from(tokens) * engine.token_bytes as f64 * 8.0;
     Duration::from_secs_f64(bits / (engine.link_mbps.max(1.0) * 1e6) * COPY_SLACK)
 }
 
-/// Copies of one run to one server.
+/// Copies one run's memory to one server.
 struct Copier<'a> {
     gateway: &'a Arc<Gateway>,
     run: &'a str,
@@ -156,7 +157,7 @@
 }
 
 impl Copier<'_> {
-    /// Copies while the run goes on, until a copy finds the links quiet or time is short.
+    /// Copies while the run continues, until a copy is fast enough (see [`QUIET_COPY_TIME`]) or time is short.
     async fn copy_until_quiet(&self, noticed: Instant) -> Result<PreCopy, NotCopied> {
         let mut ahead = PreCopy {
             gateway: self.gateway.clone(),
@@ -172,7 +173,7 @@
         }
     }
 
-    /// One copy; passing refusals are waited out.
+    /// Makes one copy, retrying after temporary refusals. With `last`, the run is stopped first.
     async fn copy(&self, last: bool) -> Result<Copied, NotCopied> {
         let began = time::now();
         let mut tries = 0;
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request on its way through the gateway, and the answer to it.
+//! A caller's request as the gateway forwards it, and the response.
 
 use crate::gateway::fingerprint::Fingerprint;
 use crate::gateway::table::{RegionList, Route};
@@ -11,32 +11,32 @@
 use std::time::{Duration, Instant};
 use tokio::sync::OwnedSemaphorePermit;
 
-/// What a generation is expected to take; all 0 for plain services.
+/// Expected size of a generation; all 0 for plain services.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Size {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Most tokens of the answer.
+    /// Upper limit of output tokens.
     pub max_tokens: u32,
-    /// Tokens of the answer that the caller expects.
+    /// Number of output tokens that the caller expects.
     pub expected_tokens: Option<u32>,
 }
 
 impl Size {
-    /// Memory that the generation is expected to hold at its end, in tokens.
+    /// Memory that the generation is expected to occupy at its end, in tokens.
     pub fn peak_tokens(&self) -> u32 {
         let out = self.expected_tokens.map_or(self.max_tokens, |hint| hint.min(self.max_tokens));
         self.prompt_tokens.saturating_add(out)
     }
 }
 
-/// Time for one token of an answer on a busy engine: 8 to 10 ms were seen, prompts beside it included.
+/// Time per output token on a busy engine. 8 to 10 ms were measured, with prompts being read at the same time.
 const TOKEN_TIME: Duration = Duration::from_millis(12);
-/// Time until the first token: the first event came within 1.5 s in 99 of 100.
+/// Time until the first token: the 99th percentile that was measured for the first event.
 const FIRST_TOKEN_TIME: Duration = Duration::from_millis(1_500);
 
 impl Size {
-    /// Time that the generation may take; nothing for plain services.
+    /// Longest time that the generation is expected to take; zero for plain services.
     pub fn max_duration(&self) -> Duration {
         match self.max_tokens {
             0 => Duration::ZERO,
@@ -45,82 +45,82 @@
     }
 }
 
-/// Whose request it is: the workspace and the key that says so.
+/// The workspace that sent the request, and the API key that proves it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Credential {
-    /// Name of the workspace.
+    /// The workspace's name.
     pub workspace: Arc<str>,
-    /// The caller's key; it is looked up again before each sending.
+    /// The caller's API key. It is looked up again before each send, as it may have been revoked meanwhile.
     pub key: String,
     /// Regions that requests of the workspace must stay in.
     pub homes: RegionList,
 }
 
-/// A caller's request. Time limits are on this process's steady clock.
+/// A caller's request. Times are on this process's monotonic clock.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// The caller's id of this attempt.
+    /// The id that the caller gave this attempt.
     pub id: String,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query, as the caller sent them.
     pub path: String,
-    /// Headers for the backend server, without those that concern one connection or the system.
+    /// Headers for the backend server, without hop-by-hop headers and those that the gateway itself consumes.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete request body.
     pub body: Bytes,
-    /// The part of the memory for bodies that it takes, as long as the request lives.
+    /// Reserves the body's share of the memory for request bodies, until the request is dropped.
     pub body_permit: Option<Arc<OwnedSemaphorePermit>>,
-    /// The route in force when it arrived.
+    /// The route that was in effect when the request arrived.
     pub route: Arc<Route>,
-    /// Present where the route needs a key.
+    /// Present if the route requires an API key.
     pub credential: Option<Credential>,
-    /// When its head had been read.
+    /// When the request's head had been read.
     pub arrived: Instant,
-    /// When it must have its final answer.
+    /// When the final response is due.
     pub deadline: Instant,
-    /// What it is expected to take.
+    /// The expected size of the generation.
     pub size: Size,
-    /// The last event that the caller has of a stream it continues.
+    /// Id of the last event that the caller has received, if it continues a stream.
     pub after: Option<u64>,
-    /// Its fingerprint, once it is needed.
+    /// The fingerprint, computed on first use.
     pub cached_fingerprint: OnceLock<Fingerprint>,
 }
 
 impl Call {
-    /// Time left until the final answer is due.
+    /// Time left until the deadline.
     pub fn time_left(&self, now: Instant) -> Duration {
         self.deadline.saturating_duration_since(now)
     }
 
-    /// What makes the request known again beyond this attempt.
+    /// Identifies the same request across attempts and daemons.
     pub fn fingerprint(&self) -> Fingerprint {
         *self.cached_fingerprint.get_or_init(|| Fingerprint::of(self))
     }
 }
 
-/// Why a body ended before its time.
+/// A response body that ended before it was complete.
 #[derive(Debug, Clone, Snafu)]
 #[snafu(display("the answer broke off: {reason}; send the request again if it may run twice"))]
 pub struct IncompleteBody {
-    /// What was seen.
+    /// What happened to the connection or the stream.
     pub reason: String,
 }
 
-/// The body of an answer.
+/// The body of a response.
 pub type AnswerBody = UnsyncBoxBody<Bytes, IncompleteBody>;
 
-/// A body that is there as a whole.
+/// Creates a body from bytes that are all in memory.
 pub fn full_body(bytes: impl Into<Bytes>) -> AnswerBody {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// The answer to a caller.
+/// The response to a caller.
 pub struct Answer {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Headers without those that concern one connection.
+    /// Headers, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Body; ends in an error where the answer is not complete.
+    /// Body; ends with an error if the response is incomplete.
     pub body: AnswerBody,
 }
--- a/src/gateway/stop.rs
+++ b/src/gateway/stop.rs
@@ -1,4 +1,5 @@
-//! The planned stop of a daemon: callers go elsewhere first, then requests end, then the process.
+//! Graceful shutdown of a daemon: callers are first redirected to other daemons, then open requests finish, then
+//! the process exits.
 
 use crate::gateway::core::Gateway;
 use crate::gateway::listen::{OpenConnections, Phase};
@@ -8,14 +9,15 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Time before the end of the grace period from which no request is read any more.
+/// How long before the end of the grace period the daemon stops reading requests.
 const REQUEST_CUTOFF: Duration = Duration::from_millis(1_500);
-/// Time before the end of the grace period at which the process ends, whatever still runs.
+/// How long before the end of the grace period the process exits, even with requests still running.
 const EXIT_MARGIN: Duration = Duration::from_millis(200);
-/// Time between two looks at what is still open.
+/// Interval between checks for open connections.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Stops within `grace`. Callers come for up to `kept` after they could last be told of this daemon.
+/// Shuts down within `grace`. Callers may use this daemon's address for up to `address_lifetime` after they could
+/// last learn of it, so connections are accepted for that long.
 pub async fn run(
     gateway: &Gateway,
     phase: &watch::Sender<Phase>,
--- a/src/gateway/upstream.rs
+++ b/src/gateway/upstream.rs
@@ -1,4 +1,4 @@
-//! The stream of one server, as whole events.
+//! The response stream of one server, split into complete events.
 
 use crate::gateway::core::Gateway;
 use crate::gateway::events::{Event, Splitter};
@@ -8,29 +8,29 @@
 use crate::time;
 use http_body_util::BodyExt;
 
-/// The stream of one server.
+/// The response stream of one server.
 pub(crate) struct Upstream {
     body: AnswerBody,
     splitter: Splitter,
 }
 
-/// What comes next of a stream.
+/// The next item of a stream.
 pub(crate) enum Step {
-    /// A whole event.
+    /// A complete event.
     Event(Event),
-    /// Its end.
+    /// The stream ended between two events.
     Ended,
-    /// It broke off, with the reason.
+    /// The stream failed or ended inside an event, with the reason.
     BrokeOff(String),
 }
 
 impl Upstream {
-    /// A stream of which nothing has been read.
+    /// Wraps a response body of which nothing has been read.
     pub(crate) fn new(body: AnswerBody) -> Upstream {
         Upstream { body, splitter: Splitter::default() }
     }
 
-    /// The next whole event. May be dropped and called again.
+    /// Reads the next complete event. Cancel-safe: a dropped call loses no data.
     pub(crate) async fn next(&mut self) -> Step {
         loop {
             if let Some(event) = self.splitter.take() {
@@ -40,12 +40,12 @@
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else { continue };
                     if self.splitter.push(&data).is_err() {
-                        return Step::BrokeOff("an event without end".into());
+                        return Step::BrokeOff("an event exceeds the size limit".into());
                     }
                 }
                 Some(Err(e)) => return Step::BrokeOff(e.reason),
                 None if self.splitter.has_partial_event() => {
-                    return Step::BrokeOff("ended inside an event".into());
+                    return Step::BrokeOff("the stream ended inside an event".into());
                 }
                 None => return Step::Ended,
             }
@@ -53,7 +53,7 @@
     }
 }
 
-/// Sends the request of a stream that has begun to a server.
+/// Sends the request of a stream that has already begun to a server, to continue it there.
 pub(crate) async fn reopen(
     gateway: &Gateway,
     call: &Call,
