--- a/src/gateway/port.rs
+++ b/src/gateway/port.rs
@@ -1,5 +1,5 @@
-//! What the gateway needs of its surroundings, as traits: an adapter translates each to what is
-//! spoken where the system runs.
+//! Traits for what the gateway needs from its environment. Adapters implement them for the protocols of a
+//! particular deployment.
 
 use crate::gateway::condition::Remarks;
 use crate::gateway::request::{AnswerBody, Call};
@@ -24,25 +24,25 @@
     pub addr: SocketAddr,
 }
 
-/// Memory of a run that another server holds.
+/// A copy of a run's memory at a server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunCopy {
-    /// The server that names the copy.
+    /// The server that issued the copy's handle.
     pub server: SocketAddr,
-    /// Its name there.
+    /// The copy's handle at that server.
     pub handle: String,
 }
 
-/// How a request is sent.
+/// Options for sending a request to a backend server.
 #[derive(Debug, Clone)]
 pub struct SendOptions {
-    /// To whom.
+    /// The server to send to.
     pub to: Destination,
     /// Time that the backend server is given.
     pub time_left: Duration,
-    /// The copy that the run goes on from.
+    /// The copy to resume the run from, if any.
     pub resume_from: Option<RunCopy>,
-    /// The last event that is not to come again.
+    /// Id of the last event that the server must not send again.
     pub after: Option<u64>,
 }
 
@@ -52,20 +52,20 @@
     pub status: StatusCode,
     /// Headers without those that concern one connection.
     pub headers: HeaderMap,
-    /// The server's own word that it did not run the request.
+    /// Whether the server states that it did not run the request.
     pub declined: bool,
-    /// Whether another server has the address.
+    /// Whether a different server now has the address.
     pub misdirected: bool,
-    /// What it says of its server.
+    /// What the response says about the server.
     pub remarks: Remarks,
-    /// The body. Dropping it closes the connection, which ends the work at the server.
+    /// The body. Dropping it closes the connection, which stops the request at the server.
     pub body: AnswerBody,
 }
 
-/// A request that got no answer.
+/// The request got no response.
 #[derive(Debug)]
 pub enum SendError {
-    /// No byte of it was sent; the proof comes back.
+    /// No byte of the request was sent; the proof is returned.
     Unsent {
         /// As it was handed over.
         proof: Option<NotSent>,
@@ -84,9 +84,9 @@
 /// A copy of a run's memory, made at its server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Copied {
-    /// The copy's name.
+    /// The copy's handle.
     pub handle: String,
-    /// Events that the run had made.
+    /// Number of events that the run had produced.
     pub events: u64,
 }
 
@@ -97,7 +97,7 @@
     NoRun,
     /// Another copy of the run is being made.
     Busy,
-    /// The target has no room; the run's memory stays at its server under this name if it was stopped.
+    /// The target has no memory left. If the run was stopped, its memory stays at its server under this handle.
     NoRoom(Option<String>),
     /// No answer, or none that can be read.
     Unanswered(String),
@@ -106,7 +106,7 @@
 /// What a server's health check says.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Health {
-    /// Whether it is well.
+    /// Whether the server is healthy.
     pub healthy: bool,
     /// What the answer says of its server.
     pub remarks: Remarks,
@@ -130,7 +130,7 @@
     pub remarks: Remarks,
 }
 
-/// The way to backend servers.
+/// Communication with backend servers.
 pub trait BackendTransport: Send + Sync {
     /// Sends a request. The proof, there while the request has never run, is spent with the first byte.
     fn send<'a>(
@@ -174,7 +174,7 @@
 /// A change of a key.
 pub type Change = platform::Change<Position>;
 
-/// Which way a conditional write went.
+/// The outcome of a conditional write.
 pub type Swap = platform::Swap<Position>;
 
 /// A lease, which is known to the store in one era only: it may give the id to another lease after it came back from
@@ -196,7 +196,7 @@
     pub revision: Position,
 }
 
-/// Some keys of the store. Pages of one read are no snapshot.
+/// A page of keys of the store. The pages of one read do not form a consistent snapshot.
 #[derive(Debug, Clone)]
 pub struct Page {
     /// In the order of their keys.
@@ -259,11 +259,11 @@
     }
 }
 
-/// A value of the store that does not hold.
+/// A value of the store that cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DecodeError(pub String);
 
-/// What lies where in the store, and how it reads.
+/// The store's keys and the decoding of their values.
 pub trait Schema: Send + Sync {
     /// The key of the declared configuration.
     fn declaration(&self) -> &str;
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -1,7 +1,7 @@
-//! Passing a stream of events on to its caller, over every server that its run lives on.
+//! Relays a stream of events to its caller, across all servers that run the request.
 //!
-//! Whole events only, in the order of their ids, each once. When the server is about to leave,
-//! the run is carried over to another one while its events go on.
+//! Only complete events are relayed, in the order of their ids, each once. If the server is about to leave,
+//! the run is moved to another one while its events continue.
 
 use crate::gateway::admission::AdmissionClass;
 use crate::gateway::core::Gateway;
@@ -26,27 +26,27 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Events that wait for a slow caller before its server is held up.
+/// Events that are queued for a slow caller before backpressure reaches the server.
 const EVENT_QUEUE: usize = 16;
-/// Moves tried for one run at one server.
+/// Most attempts to move one run away from one server.
 const MAX_MOVES: u32 = 4;
-/// Pause before a run that could not be moved is tried again: about the time of one copy, after which
-/// there may be room elsewhere.
+/// Delay before another attempt to move a run: about the time of one copy, after which there may be room
+/// elsewhere.
 const MOVE_RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Silence of a stream after which its server is asked whether the run goes on: longer than almost all
-/// pauses of a sound stream, and a small part of what callers wait.
+/// Silence of a stream after which its server is asked whether the run continues: longer than almost all
+/// pauses of a healthy stream, and a small part of the time that callers wait.
 const SILENCE_BEFORE_PROBE: Duration = Duration::from_millis(1_000);
-/// Time between two such questions: reports are about so old.
+/// Interval between such probes: reports are about this old.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest time for the answer.
+/// Longest time to wait for a probe's answer.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long the last events of a stopped run may take to arrive after the copy is complete.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(60);
-/// How long a run whose stream has ended is waited for by its copy.
+/// How long to wait for the last copy after the stream of the stopped run has ended.
 const FINAL_COPY_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Time from the first event within which a run has just begun. A server that a request ends is gone 0.13 s
-/// after the beginning at the latest, as seen, and a busy daemon reads that some tenths later.
+/// Time from the first event within which a run counts as starting up. A server that a request crashes was gone at
+/// most 0.13 s after the start in measurements, and a busy daemon notices some tenths of a second later.
 const STARTUP_PERIOD: Duration = Duration::from_millis(500);
 
 type EventSender = mpsc::Sender<Result<Frame<Bytes>, IncompleteBody>>;
@@ -115,24 +115,24 @@
     upstream: Upstream,
     /// Id of the last event passed on.
     last: Option<u64>,
-    /// When it was passed on.
+    /// When that event was passed on.
     passed_at: Instant,
     out: EventSender,
     /// Runs begun for this answer.
     runs: u32,
     /// When the present server sent its first event.
     began: Option<Instant>,
-    /// Whether it was noted that the present server survived the run.
+    /// Whether the present server is recorded as having survived the request.
     survived: bool,
     /// Moves tried from the present server.
     moves: u32,
-    /// When the last of them came to nothing.
+    /// When the last move failed.
     failed_move: Option<Instant>,
-    /// What the server last said of a run whose stream is silent.
+    /// The last probe of a silent stream; reset by each event.
     last_probe: Option<Probe>,
 }
 
-/// What a server said of a run.
+/// A server's answer when probed about a silent run.
 #[derive(Debug, Clone, Copy)]
 struct Probe {
     at: Instant,
@@ -160,7 +160,7 @@
         let caller = self.out.clone();
         let end = tokio::select! {
             biased;
-            // Whatever is under way is given up with its caller.
+            // If the caller leaves, everything in progress is dropped.
             () = caller.closed() => End::CallerLeft,
             end = self.relay_all(first) => end,
         };
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Passes an event on unless the caller has it.
+    /// Passes an event on unless the caller already has it.
     async fn pass_on(&mut self, event: Event) -> Result<(), End> {
         let now = time::now();
         self.began.get_or_insert(now);
@@ -276,7 +276,7 @@
         self.moves < MAX_MOVES && self.service.engine.as_ref().is_some_and(|e| e.supports_moves)
     }
 
-    /// When the server is to be asked about a silent stream.
+    /// When to probe the server about a silent stream.
     fn next_probe(&self) -> Instant {
         self.last_probe.map_or(self.passed_at + SILENCE_BEFORE_PROBE, |last_probe| {
             last_probe.at + PROBE_INTERVAL
@@ -415,7 +415,7 @@
         self.began.is_none_or(|began| now.saturating_duration_since(began) < STARTUP_PERIOD)
     }
 
-    /// Runs the request anew at another server, from the last event on, where it may run again.
+    /// Restarts the request at another server after the last event, if it may run again.
     async fn restart(&mut self, why: String) -> Result<(), End> {
         let now = time::now();
         self.slot.record_result(true);
@@ -460,7 +460,7 @@
     }
 }
 
-/// Returns once the server is about to leave.
+/// Waits until the server is about to leave.
 async fn wait_for_notice(slot: &mut Slot) {
     // An error means that the server is no longer in the table: it has gone as well.
     drop(slot.notice.wait_for(|leaving| *leaving).await);
