--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -24,7 +24,7 @@
 /// Largest response of a plain service that is buffered until it is complete, in bytes.
 const MAX_BUFFERED: usize = 256 << 10;
 /// Most times that one request may reach a server, including refusals by servers.
-const MAX_SENDINGS: usize = 4;
+const MAX_SENDS: usize = 4;
 /// Number of unreachable servers, counted separately, after which a request is given up. Each may take the whole
 /// connect timeout, so by then a plain request has missed its latency target.
 const MAX_UNREACHED: usize = 4;
@@ -32,7 +32,7 @@
 const SILENCE_FRACTION: f64 = 0.6;
 
 /// The outcome of one send. The proof is present as long as the request has never run.
-pub(crate) enum Sent {
+pub(crate) enum SendOutcome {
     /// A response for the caller, complete or streaming.
     Answered(Answer),
     /// The request may have run and failed; with the server's response, if there is one to pass on.
@@ -105,18 +105,18 @@
             };
             self.tried.push(slot.key());
             match self.send_with_timeout(slot, proof.take()).await {
-                Sent::Answered(answer) => return Ok(answer),
-                Sent::NotReached(returned) => {
-                    self.count_failed("not run by a server", "not_reached");
+                SendOutcome::Answered(answer) => return Ok(answer),
+                SendOutcome::NotReached(returned) => {
+                    self.count_failed_send("not run by a server", "not_reached");
                     self.unreached += 1;
                     proof = returned;
                 }
-                Sent::NotRun(returned, why) => {
-                    self.count_failed("not run by a server", why);
+                SendOutcome::NotRun(returned, why) => {
+                    self.count_failed_send("not run by a server", why);
                     proof = returned;
                 }
-                Sent::Failed(answer, why) => {
-                    self.count_failed("failed at a server", why);
+                SendOutcome::Failed(answer, why) => {
+                    self.count_failed_send("failed at a server", why);
                     self.runs += 1;
                     fallback = answer.or(fallback);
                     if !self.call.route.may_run_again(self.runs) {
@@ -151,7 +151,7 @@
             return Err("daemon_leaves".into());
         }
         let arrived = self.tried.len() - self.unreached;
-        if arrived >= MAX_SENDINGS || self.unreached >= MAX_UNREACHED {
+        if arrived >= MAX_SENDS || self.unreached >= MAX_UNREACHED {
             let (servers, why) = (self.gateway.servers(), "servers_refuse".into());
             return Err(self.gateway.after_backoff(why, &servers, &self.service, self.call, now));
         }
@@ -184,47 +184,47 @@
     }
 
     /// Sends the request. If it may run again, a silent server is given up in time to try another one.
-    async fn send_with_timeout(&self, slot: Slot, proof: Option<NotSent>) -> Sent {
-        let (key, trial) = (slot.key(), slot.rollout_sample);
+    async fn send_with_timeout(&self, slot: Slot, proof: Option<NotSent>) -> SendOutcome {
+        let (key, sample) = (slot.key(), slot.rollout_sample);
         let Some(limit) = self.silence_timeout(&slot) else {
             return self.send(slot, proof).await;
         };
         timeout(limit, self.send(slot, proof)).await.unwrap_or_else(|_| {
             self.gateway.record_result(key, true);
-            if let Some(trial) = trial {
-                self.gateway.record_rollout_sample(trial, true);
+            if let Some(sample) = sample {
+                self.gateway.record_rollout_sample(sample, true);
             }
-            Sent::Failed(None, "silent")
+            SendOutcome::Failed(None, "silent")
         })
     }
 
-    async fn send(&self, mut slot: Slot, proof: Option<NotSent>) -> Sent {
+    async fn send(&self, mut slot: Slot, proof: Option<NotSent>) -> SendOutcome {
         let never_ran = proof.is_some();
         let now = time::now();
         slot.store_age = self.gateway.record_store_age(now);
         let left = self.call.time_left(now);
         let after = self.call.after;
-        let sending = SendOptions {
+        let options = SendOptions {
             to: slot.place.destination.clone(),
             time_left: left,
             resume_from: None,
             after,
         };
         self.gateway.log_server_remarks(self.call, slot.key(), now);
-        let reply = match self.gateway.wire.send(self.call, sending, proof).await {
+        let reply = match self.gateway.wire.send(self.call, options, proof).await {
             Ok(reply) => reply,
-            Err(lost) => return self.handle_send_error(&slot, lost).await,
+            Err(error) => return self.handle_send_error(&slot, error).await,
         };
         self.gateway.handle_remarks(slot.key(), &reply.remarks, now);
         let declared = || never_ran.then(NotSent::declared);
         if reply.misdirected {
             self.gateway.servers().mark_leaving(slot.key(), time::now());
-            return Sent::NotRun(declared(), "replaced");
+            return SendOutcome::NotRun(declared(), "replaced");
         }
         if reply.declined && matches!(reply.status.as_u16(), 408 | 429 | 503) {
             // A server that declines is idle, so it looks free to every daemon that it has not declined yet.
             slot.record_refusal();
-            return Sent::NotRun(declared(), "declined");
+            return SendOutcome::NotRun(declared(), "declined");
         }
         if self.call.route.kind == RouteKind::Streaming && reply.status.is_success() {
             return relay::begin(self.gateway, self.call, &self.service, slot, reply).await;
@@ -236,32 +236,32 @@
         let (id, route) = (self.call.id.as_str(), self.call.route.name.as_str());
         let (server, whole) = (slot.id(), answer.is_ok());
         let ms = time::since(self.call.arrived).as_millis() as u64;
-        let knew = slot.store_age_ms();
-        info!(id = id, route = route, server = server, status = status, whole = whole, ms = ms, knowledge_ms = knew; "answer from a server");
+        let store_age_ms = slot.store_age_ms();
+        info!(id = id, route = route, server = server, status = status, whole = whole, ms = ms, knowledge_ms = store_age_ms; "answer from a server");
         let Ok(answer) = answer else {
             self.gateway.handle_lost_run(self.call, &slot, RunProgress::NoEvents).await;
-            return Sent::Failed(None, "broken_answer");
+            return SendOutcome::Failed(None, "broken_answer");
         };
         self.gateway.note_survived(self.call);
         match failed {
-            true => Sent::Failed(Some(answer), "server_error"),
-            false => Sent::Answered(answer),
+            true => SendOutcome::Failed(Some(answer), "server_error"),
+            false => SendOutcome::Answered(answer),
         }
     }
 
-    async fn handle_send_error(&self, slot: &Slot, lost: SendError) -> Sent {
+    async fn handle_send_error(&self, slot: &Slot, error: SendError) -> SendOutcome {
         slot.record_result(true);
         let (id, server) = (self.call.id.as_str(), slot.id());
-        match lost {
+        match error {
             SendError::Unsent { proof, refused, reason } => {
                 slot.record_connect_failure(refused);
                 warn!(id = id, server = server, reason = reason.as_str(); "server not reached");
-                Sent::NotReached(proof)
+                SendOutcome::NotReached(proof)
             }
             SendError::Unanswered { reason } => {
                 warn!(id = id, server = server, reason = reason.as_str(); "no answer from a server");
                 self.gateway.handle_lost_run(self.call, slot, RunProgress::NoEvents).await;
-                Sent::Failed(None, "no_answer")
+                SendOutcome::Failed(None, "no_answer")
             }
         }
     }
@@ -271,17 +271,17 @@
         if !self.call.route.may_run_again(self.runs + 1) {
             return None;
         }
-        let aim = self.call.route.latency_slo;
+        let latency_slo = self.call.route.latency_slo;
         Some(match self.call.route.kind {
-            RouteKind::Safe => aim.mul_f64(SILENCE_FRACTION),
+            RouteKind::Safe => latency_slo.mul_f64(SILENCE_FRACTION),
             _ => admission::first_event_timeout(
-                aim,
+                latency_slo,
                 slot.waiting_tokens + slot.place.load.unread_prompt,
             ),
         })
     }
 
-    fn count_failed(&self, what: &str, why: &str) {
+    fn count_failed_send(&self, what: &str, why: &str) {
         self.gateway.metrics.failed_sendings.with_label_values(&[why]).inc();
         self.log(what, why);
     }
--- a/src/gateway/moving.rs
+++ b/src/gateway/moving.rs
@@ -40,7 +40,7 @@
     /// The run was stopped, and all its memory is at the slot's server.
     Stopped {
         /// The copy.
-        kept: RunCopy,
+        copy: RunCopy,
         /// The slot at the server that holds it.
         slot: Box<Slot>,
     },
@@ -58,24 +58,24 @@
     source: Placement,
     stopping: Arc<AtomicBool>,
 ) -> MoveOutcome {
-    let noticed = time::now();
-    let turn = gateway.move_permit(source.key);
-    let _turn = turn.acquire().await;
+    let started = time::now();
+    let permits = gateway.move_permit(source.key);
+    let _permit = permits.acquire().await;
     wait_for_others(&gateway, &service, &source).await;
     if !gateway.allows_retry(&service.name, RetryKind::Continuation, time::now()) {
         return MoveOutcome::NotMoved("no_repeat_left");
     }
     let mut refused = vec![source.key];
-    let (slot, mut copy) = loop {
+    let (slot, mut pre_copy) = loop {
         let now = time::now();
         let Some(mut slot) = gateway.slot_for_copy(&service, &call, &source, &refused, now) else {
             return MoveOutcome::NotMoved("no_server");
         };
         let copier = Copier { gateway: &gateway, run: &call.id, from: &source, to: &slot };
-        match copier.copy_until_quiet(noticed).await {
-            Ok(copy) => {
+        match copier.copy_until_quiet(started).await {
+            Ok(pre_copy) => {
                 slot.record_copy_done();
-                break (slot, copy);
+                break (slot, pre_copy);
             }
             Err(NotCopied::NoRoom(_)) => refused.push(slot.key()),
             Err(_) => return MoveOutcome::NotMoved("copy_refused"),
@@ -92,15 +92,15 @@
     }
     stopping.store(true, Ordering::Relaxed);
     let copier = Copier { gateway: &gateway, run: &call.id, from: &source, to: &slot };
-    let kept = |handle| RunCopy { server: source.destination.addr, handle };
+    let run_copy = |handle| RunCopy { server: source.destination.addr, handle };
     match copier.copy(true).await {
         Ok(copied) => {
-            copy.handle = None;
-            MoveOutcome::Stopped { kept: kept(copied.handle), slot: Box::new(slot) }
+            pre_copy.handle = None;
+            MoveOutcome::Stopped { copy: run_copy(copied.handle), slot: Box::new(slot) }
         }
         Err(NotCopied::NoRoom(Some(handle))) => {
-            copy.handle = None;
-            MoveOutcome::KeptAtSource(kept(handle))
+            pre_copy.handle = None;
+            MoveOutcome::KeptAtSource(run_copy(handle))
         }
         Err(_) => MoveOutcome::NotMoved("last_copy"),
     }
@@ -129,13 +129,13 @@
     let Some(engine) = &service.engine else {
         return;
     };
-    let (mut since, mut before) = (time::now(), u32::MAX);
+    let (mut progress_at, mut least) = (time::now(), u32::MAX);
     loop {
         let ahead = gateway.higher_ranked_load(source.key, time::now()).non_repeatable;
-        if ahead < before {
-            (since, before) = (time::now(), ahead);
+        if ahead < least {
+            (progress_at, least) = (time::now(), ahead);
         }
-        if ahead == 0 || time::since(since) >= copy_time(ahead, engine) {
+        if ahead == 0 || time::since(progress_at) >= copy_time(ahead, engine) {
             return;
         }
         sleep(POLL_INTERVAL).await;
@@ -158,41 +158,44 @@
 
 impl Copier<'_> {
     /// Copies while the run continues, until a copy is fast enough (see [`QUIET_COPY_TIME`]) or time is short.
-    async fn copy_until_quiet(&self, noticed: Instant) -> Result<PreCopy, NotCopied> {
-        let mut ahead = PreCopy {
+    async fn copy_until_quiet(&self, started: Instant) -> Result<PreCopy, NotCopied> {
+        let mut pre_copy = PreCopy {
             gateway: self.gateway.clone(),
             from: self.from.destination.addr,
             handle: None,
         };
         loop {
             let began = time::now();
-            ahead.handle = Some(self.copy(false).await?.handle);
-            if time::since(began) <= QUIET_COPY_TIME || time::since(noticed) >= STOP_AFTER {
-                return Ok(ahead);
+            pre_copy.handle = Some(self.copy(false).await?.handle);
+            if time::since(began) <= QUIET_COPY_TIME || time::since(started) >= STOP_AFTER {
+                return Ok(pre_copy);
             }
         }
     }
 
     /// Makes one copy, retrying after temporary refusals. With `last`, the run is stopped first.
-    async fn copy(&self, last: bool) -> Result<Copied, NotCopied> {
+    async fn copy(&self, stop_run: bool) -> Result<Copied, NotCopied> {
         let began = time::now();
         let mut tries = 0;
-        let copied = loop {
+        let result = loop {
             tries += 1;
             let (asked, target) = (time::now(), self.to.place.destination.addr);
-            let answer =
-                self.gateway.wire.copy(self.from.destination.addr, self.run, target, last).await;
+            let answer = self
+                .gateway
+                .wire
+                .copy(self.from.destination.addr, self.run, target, stop_run)
+                .await;
             self.gateway.handle_remarks(self.from.key, &answer.remarks, asked);
             match answer.outcome {
                 Err(NotCopied::Busy | NotCopied::NoRun) if tries < MAX_TRIES => {
                     sleep(RETRY_PAUSE).await
                 }
-                copied => break copied,
+                result => break result,
             }
         };
         let ms = time::since(began).as_millis() as u64;
-        let outcome = copied.as_ref().map_or_else(|e| format!("{e:?}"), |_| "made".into());
-        info!(id = self.run, to = self.to.id(), last = last, ms = ms, outcome = outcome.as_str(); "copy of a run");
-        copied
+        let outcome = result.as_ref().map_or_else(|e| format!("{e:?}"), |_| "made".into());
+        info!(id = self.run, to = self.to.id(), last = stop_run, ms = ms, outcome = outcome.as_str(); "copy of a run");
+        result
     }
 }
--- a/src/gateway/port.rs
+++ b/src/gateway/port.rs
@@ -136,7 +136,7 @@
     fn send<'a>(
         &'a self,
         call: &'a Call,
-        sending: SendOptions,
+        options: SendOptions,
         proof: Option<NotSent>,
     ) -> BoxFuture<'a, Result<Reply, SendError>>;
 
@@ -146,7 +146,7 @@
         source: SocketAddr,
         run: &'a str,
         target: SocketAddr,
-        last: bool,
+        stop_run: bool,
     ) -> BoxFuture<'a, CopyAnswer>;
 
     /// Checks a server's health at `path`. It is not well when it is about to leave, and tells so
@@ -155,14 +155,18 @@
         &'a self,
         server: &'a Destination,
         path: &'a str,
-        limit: Duration,
+        timeout: Duration,
     ) -> BoxFuture<'a, Result<Health, String>>;
 
     /// Asks a server for its report.
-    fn report(&self, server: SocketAddr, limit: Duration) -> BoxFuture<'_, Result<Report, String>>;
+    fn report(
+        &self,
+        server: SocketAddr,
+        timeout: Duration,
+    ) -> BoxFuture<'_, Result<Report, String>>;
 
     /// Whether nothing listens at a server's address any more, as seen within `limit`.
-    fn refuses_connections(&self, server: SocketAddr, limit: Duration) -> BoxFuture<'_, bool>;
+    fn refuses_connections(&self, server: SocketAddr, timeout: Duration) -> BoxFuture<'_, bool>;
 
     /// Frees a copy that is not needed.
     fn free<'a>(&'a self, source: SocketAddr, handle: &'a str) -> BoxFuture<'a, ()>;
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -6,14 +6,14 @@
 use crate::gateway::admission::AdmissionClass;
 use crate::gateway::core::Gateway;
 use crate::gateway::events::Event;
-use crate::gateway::forward::Sent;
+use crate::gateway::forward::SendOutcome;
 use crate::gateway::moving::{self, MoveOutcome};
 use crate::gateway::port::{Reply, RunCopy, SendOptions};
 use crate::gateway::quarantine::RunProgress;
 use crate::gateway::request::{Answer, Call, IncompleteBody};
 use crate::gateway::slot::Slot;
 use crate::gateway::table::Service;
-use crate::gateway::upstream::{Step, Upstream, reopen};
+use crate::gateway::upstream::{StreamItem, Upstream, reopen};
 use crate::time;
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
@@ -59,49 +59,49 @@
     service: &Arc<Service>,
     mut slot: Slot,
     reply: Reply,
-) -> Sent {
+) -> SendOutcome {
     let Reply { status, headers, body, .. } = reply;
     let mut upstream = Upstream::new(body);
     let first = match upstream.next().await {
-        Step::Event(event) => event,
-        Step::Ended | Step::BrokeOff(_) => {
+        StreamItem::Event(event) => event,
+        StreamItem::Ended | StreamItem::BrokeOff(_) => {
             slot.record_result(true);
             gateway.handle_lost_run(call, &slot, RunProgress::NoEvents).await;
-            return Sent::Failed(None, "no_event");
+            return SendOutcome::Failed(None, "no_event");
         }
     };
     slot.record_result(false);
     slot.record_prompt_read();
     let (id, route) = (call.id.as_str(), call.route.name.as_str());
     let ms = time::since(call.arrived).as_millis() as u64;
-    let knew = slot.store_age_ms();
-    info!(id = id, route = route, server = slot.id(), ms = ms, tokens = call.size.peak_tokens(), knowledge_ms = knew; "stream begun");
-    let (out, events) = mpsc::channel(EVENT_QUEUE);
+    let store_age_ms = slot.store_age_ms();
+    info!(id = id, route = route, server = slot.id(), ms = ms, tokens = call.size.peak_tokens(), knowledge_ms = store_age_ms; "stream begun");
+    let (event_sender, events) = mpsc::channel(EVENT_QUEUE);
     let relay = Relay {
         gateway: gateway.clone(),
         call: call.clone(),
         service: service.clone(),
         slot,
         upstream,
-        last: call.after,
-        passed_at: time::now(),
-        began: None,
+        last_event_id: call.after,
+        last_forwarded_at: time::now(),
+        first_event_at: None,
         survived: false,
-        out,
+        event_sender,
         runs: 1,
-        moves: 0,
-        failed_move: None,
+        move_attempts: 0,
+        move_failed_at: None,
         last_probe: None,
     };
     tokio::spawn(relay.run(first));
     let events = futures_util::stream::unfold(events, |mut events| async {
         events.recv().await.map(|event| (event, events))
     });
-    Sent::Answered(Answer { status, headers, body: StreamBody::new(events).boxed_unsync() })
+    SendOutcome::Answered(Answer { status, headers, body: StreamBody::new(events).boxed_unsync() })
 }
 
 /// How a relay ends.
-enum End {
+enum RelayEnd {
     Complete,
     CallerLeft,
     Broken(String),
@@ -114,20 +114,20 @@
     slot: Slot,
     upstream: Upstream,
     /// Id of the last event passed on.
-    last: Option<u64>,
+    last_event_id: Option<u64>,
     /// When that event was passed on.
-    passed_at: Instant,
-    out: EventSender,
+    last_forwarded_at: Instant,
+    event_sender: EventSender,
     /// Runs begun for this answer.
     runs: u32,
     /// When the present server sent its first event.
-    began: Option<Instant>,
+    first_event_at: Option<Instant>,
     /// Whether the present server is recorded as having survived the request.
     survived: bool,
     /// Moves tried from the present server.
-    moves: u32,
+    move_attempts: u32,
     /// When the last move failed.
-    failed_move: Option<Instant>,
+    move_failed_at: Option<Instant>,
     /// The last probe of a silent stream; reset by each event.
     last_probe: Option<Probe>,
 }
@@ -137,7 +137,7 @@
 struct Probe {
     at: Instant,
     /// Events that the run had made; `None` where the server did not run it or did not answer.
-    made: Option<u64>,
+    events: Option<u64>,
 }
 
 /// A move under way.
@@ -152,63 +152,65 @@
     Notice,
     Silence,
     Moved(Box<MoveOutcome>),
-    Step(Step),
+    Item(StreamItem),
 }
 
 impl Relay {
     async fn run(mut self, first: Event) {
-        let caller = self.out.clone();
+        let caller = self.event_sender.clone();
         let end = tokio::select! {
             biased;
             // If the caller leaves, everything in progress is dropped.
-            () = caller.closed() => End::CallerLeft,
+            () = caller.closed() => RelayEnd::CallerLeft,
             end = self.relay_all(first) => end,
         };
         let (id, server) = (self.call.id.as_str(), self.slot.id());
         match end {
-            End::Complete => {
+            RelayEnd::Complete => {
                 let ms = time::since(self.call.arrived).as_millis() as u64;
                 self.gateway.note_survived(&self.call);
-                info!(id = id, server = server, last = self.last, ms = ms; "stream complete");
+                info!(id = id, server = server, last = self.last_event_id, ms = ms; "stream complete");
             }
-            End::CallerLeft => info!(id = id, server = server, last = self.last; "caller left"),
-            End::Broken(reason) => {
+            RelayEnd::CallerLeft => {
+                info!(id = id, server = server, last = self.last_event_id; "caller left")
+            }
+            RelayEnd::Broken(reason) => {
                 self.gateway.metrics.cut_streams.inc();
                 let leaving = *self.slot.notice.borrow();
                 let request = self.call.fingerprint().to_string();
-                warn!(id = id, request = request.as_str(), server = server, leaving = leaving, last = self.last, why = reason.as_str(); "stream cut");
+                warn!(id = id, request = request.as_str(), server = server, leaving = leaving, last = self.last_event_id, why = reason.as_str(); "stream cut");
                 // Refused only where the caller has left.
-                let _ = self.out.send(Err(IncompleteBody { reason })).await;
+                let _ = self.event_sender.send(Err(IncompleteBody { reason })).await;
             }
         }
     }
 
-    async fn relay_all(&mut self, first: Event) -> End {
-        match self.pass_on(first).await {
-            Ok(()) => self.follow().await,
+    async fn relay_all(&mut self, first: Event) -> RelayEnd {
+        match self.forward_event(first).await {
+            Ok(()) => self.relay_events().await,
             Err(end) => end,
         }
     }
 
-    async fn follow(&mut self) -> End {
+    async fn relay_events(&mut self) -> RelayEnd {
         let deadline = time::sleep_until(self.call.deadline);
         tokio::pin!(deadline);
         let mut moving: Option<Moving> = None;
         loop {
             // Events come more often than the pause between moves, so that its end is not missed.
-            let may_move = moving.is_none() && self.may_move(time::now());
+            let may_move_now = moving.is_none() && self.may_move_now(time::now());
             let may_probe = moving.is_none() && self.can_move();
-            let look = time::sleep_until(self.next_probe());
+            let probe_timer = time::sleep_until(self.next_probe());
             let wakeup = tokio::select! {
                 biased;
                 () = &mut deadline => Wakeup::OutOfTime,
                 moved = wait_for_move(&mut moving) => Wakeup::Moved(Box::new(moved)),
-                () = wait_for_notice(&mut self.slot), if may_move => Wakeup::Notice,
-                step = self.upstream.next() => Wakeup::Step(step),
-                () = look, if may_probe => Wakeup::Silence,
+                () = wait_for_notice(&mut self.slot), if may_move_now => Wakeup::Notice,
+                item = self.upstream.next() => Wakeup::Item(item),
+                () = probe_timer, if may_probe => Wakeup::Silence,
             };
-            let ended = match wakeup {
-                Wakeup::OutOfTime => return End::Broken("out of time".into()),
+            let result = match wakeup {
+                Wakeup::OutOfTime => return RelayEnd::Broken("out of time".into()),
                 Wakeup::Notice => {
                     moving = Some(self.start_move("server leaves"));
                     continue;
@@ -223,63 +225,64 @@
                     moving = None;
                     self.handle_move(*moved).await
                 }
-                Wakeup::Step(Step::Event(event)) => self.pass_on(event).await,
-                Wakeup::Step(Step::Ended) => return End::Complete,
-                Wakeup::Step(Step::BrokeOff(why)) => match is_stopping(&moving) {
+                Wakeup::Item(StreamItem::Event(event)) => self.forward_event(event).await,
+                Wakeup::Item(StreamItem::Ended) => return RelayEnd::Complete,
+                Wakeup::Item(StreamItem::BrokeOff(why)) => match is_stopping(&moving) {
                     true => self.finish_move(moving.take()).await,
                     false => {
                         moving = None;
                         if self.is_starting_up(time::now()) {
-                            let run =
-                                self.began.map_or(RunProgress::NoEvents, |_| RunProgress::Begun);
+                            let run = self.first_event_at.map_or(RunProgress::NoEvents, |_| RunProgress::Begun);
                             self.gateway.handle_lost_run(&self.call, &self.slot, run).await;
                         }
                         self.restart(why).await
                     }
                 },
             };
-            if let Err(end) = ended {
+            if let Err(end) = result {
                 return end;
             }
         }
     }
 
     /// Passes an event on unless the caller already has it.
-    async fn pass_on(&mut self, event: Event) -> Result<(), End> {
+    async fn forward_event(&mut self, event: Event) -> Result<(), RelayEnd> {
         let now = time::now();
-        self.began.get_or_insert(now);
+        self.first_event_at.get_or_insert(now);
         if !self.survived && !self.is_starting_up(now) {
             self.survived = true;
             self.gateway.note_survived(&self.call);
         }
-        if event.id.is_some() && event.id <= self.last {
+        if event.id.is_some() && event.id <= self.last_event_id {
             return Ok(());
         }
-        self.last = event.id.or(self.last);
-        let pause = now.saturating_duration_since(self.passed_at);
-        self.passed_at = now;
+        self.last_event_id = event.id.or(self.last_event_id);
+        let pause = now.saturating_duration_since(self.last_forwarded_at);
+        self.last_forwarded_at = now;
         self.last_probe = None;
         let kind = self.call.route.kind.name();
         self.gateway.metrics.pause_seconds.with_label_values(&[kind]).observe(pause.as_secs_f64());
-        let sent = self.out.send(Ok(Frame::data(event.bytes))).await;
-        sent.map_err(|_| End::CallerLeft)
+        let sent = self.event_sender.send(Ok(Frame::data(event.bytes))).await;
+        sent.map_err(|_| RelayEnd::CallerLeft)
     }
 
-    fn may_move(&self, now: Instant) -> bool {
-        let again = self.call.route.repeatable();
-        let paused =
-            self.failed_move.is_some_and(|at| now.saturating_duration_since(at) < MOVE_RETRY_PAUSE);
-        !again && !paused && self.can_move()
+    fn may_move_now(&self, now: Instant) -> bool {
+        let repeatable = self.call.route.repeatable();
+        let paused = self
+            .move_failed_at
+            .is_some_and(|at| now.saturating_duration_since(at) < MOVE_RETRY_PAUSE);
+        !repeatable && !paused && self.can_move()
     }
 
     fn can_move(&self) -> bool {
-        self.moves < MAX_MOVES && self.service.engine.as_ref().is_some_and(|e| e.supports_moves)
+        self.move_attempts < MAX_MOVES
+            && self.service.engine.as_ref().is_some_and(|e| e.supports_moves)
     }
 
     /// When to probe the server about a silent stream.
     fn next_probe(&self) -> Instant {
-        self.last_probe.map_or(self.passed_at + SILENCE_BEFORE_PROBE, |last_probe| {
-            last_probe.at + PROBE_INTERVAL
+        self.last_probe.map_or(self.last_forwarded_at + SILENCE_BEFORE_PROBE, |probe| {
+            probe.at + PROBE_INTERVAL
         })
     }
 
@@ -288,12 +291,12 @@
     async fn progresses_at_server(&mut self) -> bool {
         let now = time::now();
         if self.gateway.servers().is_backing_off(self.slot.key(), now) {
-            self.last_probe = Some(Probe { at: now, made: None });
+            self.last_probe = Some(Probe { at: now, events: None });
             return false;
         }
         let (server, run) = (self.slot.place.destination.addr, self.call.id.as_str());
         let asked = time::now();
-        let made = match self.gateway.wire.report(server, PROBE_TIMEOUT).await {
+        let events = match self.gateway.wire.report(server, PROBE_TIMEOUT).await {
             Ok(report) => {
                 self.gateway.handle_remarks(self.slot.key(), &report.remarks, asked);
                 report.runs.get(run).copied()
@@ -303,14 +306,14 @@
                 None
             }
         };
-        let before = self.last_probe.and_then(|last_probe| last_probe.made);
-        self.last_probe = Some(Probe { at: time::now(), made });
-        made.zip(before).is_some_and(|(made, before)| made > before)
+        let earlier = self.last_probe.and_then(|probe| probe.events);
+        self.last_probe = Some(Probe { at: time::now(), events });
+        events.zip(earlier).is_some_and(|(events, earlier)| events > earlier)
     }
 
     fn start_move(&mut self, why: &str) -> Moving {
-        self.moves += 1;
-        info!(id = self.call.id.as_str(), server = self.slot.id(), last = self.last, why = why; "run is to be moved");
+        self.move_attempts += 1;
+        info!(id = self.call.id.as_str(), server = self.slot.id(), last = self.last_event_id, why = why; "run is to be moved");
         let stopping = Arc::new(AtomicBool::new(false));
         let done = moving::move_run(
             self.gateway.clone(),
@@ -323,9 +326,9 @@
     }
 
     /// The run's stream has closed because the run was stopped: waits for its copy.
-    async fn finish_move(&mut self, moving: Option<Moving>) -> Result<(), End> {
+    async fn finish_move(&mut self, moving: Option<Moving>) -> Result<(), RelayEnd> {
         let Some(moving) = moving else {
-            return Err(End::Broken("stopped without a copy".into()));
+            return Err(RelayEnd::Broken("stopped without a copy".into()));
         };
         match timeout(FINAL_COPY_TIMEOUT, moving.done).await {
             Ok(MoveOutcome::NotMoved(why)) => self.restart(why.into()).await,
@@ -334,48 +337,50 @@
         }
     }
 
-    async fn handle_move(&mut self, moved: MoveOutcome) -> Result<(), End> {
+    async fn handle_move(&mut self, moved: MoveOutcome) -> Result<(), RelayEnd> {
         match moved {
             MoveOutcome::NotMoved(why) => {
-                self.count_move(why);
-                self.failed_move = Some(time::now());
+                self.count_move_outcome(why);
+                self.move_failed_at = Some(time::now());
                 info!(id = self.call.id.as_str(), server = self.slot.id(), why = why; "run not moved");
                 Ok(())
             }
-            MoveOutcome::Stopped { kept, slot } => {
+            MoveOutcome::Stopped { copy, slot } => {
                 self.drain_upstream().await?;
-                self.resume(kept, Some(*slot)).await
+                self.resume(copy, Some(*slot)).await
             }
-            MoveOutcome::KeptAtSource(kept) => {
+            MoveOutcome::KeptAtSource(copy) => {
                 self.drain_upstream().await?;
-                self.resume(kept, None).await
+                self.resume(copy, None).await
             }
         }
     }
 
     /// Passes on what a stopped run still sent.
-    async fn drain_upstream(&mut self) -> Result<(), End> {
+    async fn drain_upstream(&mut self) -> Result<(), RelayEnd> {
         let until = time::now() + DRAIN_TIMEOUT;
-        while let Some(Step::Event(event)) = time::timeout_at(until, self.upstream.next()).await {
-            self.pass_on(event).await?;
+        while let Some(StreamItem::Event(event)) =
+            time::timeout_at(until, self.upstream.next()).await
+        {
+            self.forward_event(event).await?;
         }
         Ok(())
     }
 
     /// Goes on from a copy at another server, or from what the stopped run left at its own. It is
     /// the same run, accepted while its key held: a key that was taken away since does not cut it.
-    async fn resume(&mut self, kept: RunCopy, slot: Option<Slot>) -> Result<(), End> {
+    async fn resume(&mut self, copy: RunCopy, slot: Option<Slot>) -> Result<(), RelayEnd> {
         let to = slot
             .as_ref()
             .map_or(&self.slot.place.destination, |slot| &slot.place.destination)
             .clone();
         let now = time::now();
         let key = slot.as_ref().map_or(self.slot.key(), Slot::key);
-        let sending = SendOptions {
+        let options = SendOptions {
             to,
             time_left: self.call.time_left(now),
-            resume_from: Some(kept.clone()),
-            after: self.last,
+            resume_from: Some(copy.clone()),
+            after: self.last_event_id,
         };
         let elsewhere = slot.is_some();
         if !elsewhere {
@@ -383,68 +388,71 @@
         }
         // Nothing more is sent to a hall that was closed a while ago or to a server that rests, not even what ran
         // there.
-        let may_follow = self.gateway.servers().accepts_in_flight(key, now);
-        let reopened = match may_follow {
-            true => reopen(&self.gateway, &self.call, key, sending).await,
+        let accepted = self.gateway.servers().accepts_in_flight(key, now);
+        let reopened = match accepted {
+            true => reopen(&self.gateway, &self.call, key, options).await,
             false => Err("its hall is closed, or it rests".into()),
         };
         let why = match reopened {
             Ok(upstream) => {
                 self.upstream = upstream;
                 if let Some(slot) = slot {
-                    (self.began, self.survived) = (None, false);
-                    self.count_move("moved");
-                    info!(id = self.call.id.as_str(), from = self.slot.id(), to = slot.id(), last = self.last; "run moved");
+                    (self.first_event_at, self.survived) = (None, false);
+                    self.count_move_outcome("moved");
+                    info!(id = self.call.id.as_str(), from = self.slot.id(), to = slot.id(), last = self.last_event_id; "run moved");
                     self.slot = slot;
-                    self.moves = 0;
+                    self.move_attempts = 0;
                 }
                 return Ok(());
             }
             Err(why) => why,
         };
         warn!(id = self.call.id.as_str(), why = why.as_str(), elsewhere = elsewhere; "run not taken over");
-        if elsewhere { Box::pin(self.resume(kept, None)).await } else { self.restart(why).await }
+        if elsewhere { Box::pin(self.resume(copy, None)).await } else { self.restart(why).await }
     }
 
-    fn count_move(&self, outcome: &str) {
+    fn count_move_outcome(&self, outcome: &str) {
         self.gateway.metrics.moves.with_label_values(&[outcome]).inc();
     }
 
     /// Whether the run has begun at its present server just now.
     fn is_starting_up(&self, now: Instant) -> bool {
-        self.began.is_none_or(|began| now.saturating_duration_since(began) < STARTUP_PERIOD)
+        self.first_event_at.is_none_or(|first_event_at| {
+            now.saturating_duration_since(first_event_at) < STARTUP_PERIOD
+        })
     }
 
     /// Restarts the request at another server after the last event, if it may run again.
-    async fn restart(&mut self, why: String) -> Result<(), End> {
+    async fn restart(&mut self, why: String) -> Result<(), RelayEnd> {
         let now = time::now();
         self.slot.record_result(true);
         let allowed = self.call.route.may_run_again(self.runs);
         if !allowed || !self.gateway.is_authorized(&self.call, now) {
-            return Err(End::Broken(why));
+            return Err(RelayEnd::Broken(why));
         }
         let tried = [self.slot.key()];
-        let begun = AdmissionClass::Begun;
-        let Ok(slot) = self.gateway.slot_for_retry(&self.service, &self.call, begun, &tried, now)
+        let admission_class = AdmissionClass::Begun;
+        let Ok(slot) =
+            self.gateway.slot_for_retry(&self.service, &self.call, admission_class, &tried, now)
         else {
-            return Err(End::Broken(why));
+            return Err(RelayEnd::Broken(why));
         };
         self.runs += 1;
-        let sending = SendOptions {
+        let options = SendOptions {
             to: slot.place.destination.clone(),
             time_left: self.call.time_left(now),
             resume_from: None,
-            after: self.last,
+            after: self.last_event_id,
         };
         let request = self.call.fingerprint().to_string();
         info!(id = self.call.id.as_str(), request = request.as_str(), server = self.slot.id(), why = why.as_str(); "stream broke off");
         let key = slot.key();
         self.upstream =
-            reopen(&self.gateway, &self.call, key, sending).await.map_err(End::Broken)?;
-        info!(id = self.call.id.as_str(), from = self.slot.id(), to = slot.id(), why = why.as_str(), last = self.last; "run begun anew");
+            reopen(&self.gateway, &self.call, key, options).await.map_err(RelayEnd::Broken)?;
+        info!(id = self.call.id.as_str(), from = self.slot.id(), to = slot.id(), why = why.as_str(), last = self.last_event_id; "run begun anew");
         self.slot = slot;
-        (self.began, self.survived) = (None, false);
-        self.moves = 0;
+        (self.first_event_at, self.survived) = (None, false);
+        self.move_attempts = 0;
         Ok(())
     }
 }
--- a/src/gateway/upstream.rs
+++ b/src/gateway/upstream.rs
@@ -15,7 +15,7 @@
 }
 
 /// The next item of a stream.
-pub(crate) enum Step {
+pub(crate) enum StreamItem {
     /// A complete event.
     Event(Event),
     /// The stream ended between two events.
@@ -31,23 +31,23 @@
     }
 
     /// Reads the next complete event. Cancel-safe: a dropped call loses no data.
-    pub(crate) async fn next(&mut self) -> Step {
+    pub(crate) async fn next(&mut self) -> StreamItem {
         loop {
             if let Some(event) = self.splitter.take() {
-                return Step::Event(event);
+                return StreamItem::Event(event);
             }
             match self.body.frame().await {
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else { continue };
                     if self.splitter.push(&data).is_err() {
-                        return Step::BrokeOff("an event exceeds the size limit".into());
+                        return StreamItem::BrokeOff("an event exceeds the size limit".into());
                     }
                 }
-                Some(Err(e)) => return Step::BrokeOff(e.reason),
+                Some(Err(e)) => return StreamItem::BrokeOff(e.reason),
                 None if self.splitter.has_partial_event() => {
-                    return Step::BrokeOff("the stream ended inside an event".into());
+                    return StreamItem::BrokeOff("the stream ended inside an event".into());
                 }
-                None => return Step::Ended,
+                None => return StreamItem::Ended,
             }
         }
     }
@@ -58,12 +58,12 @@
     gateway: &Gateway,
     call: &Call,
     server: ServerKey,
-    sending: SendOptions,
+    options: SendOptions,
 ) -> Result<Upstream, String> {
     let now = time::now();
     gateway.record_store_age(now);
     gateway.log_server_remarks(call, server, now);
-    let sent = gateway.wire.send(call, sending, None).await;
+    let sent = gateway.wire.send(call, options, None).await;
     if let Ok(reply) = &sent {
         gateway.handle_remarks(server, &reply.remarks, now);
     }
