--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -1,12 +1,12 @@
-//! A request's way: place, send, follow, send again where that is allowed, answer.
+//! Forwards a request: picks a server, sends, retries where that is allowed, and answers the caller.
 
 use crate::gateway::admission::{self, AdmissionClass};
 use crate::gateway::core::Gateway;
 use crate::gateway::limited::SERVERS_IN_NEED;
-use crate::gateway::port::{Lost, Reply, Sending};
+use crate::gateway::port::{Reply, SendError, SendOptions};
 use crate::gateway::quarantine::RunProgress;
 use crate::gateway::relay;
-use crate::gateway::request::{Answer, AnswerBody, BrokenOff, Call, full_body};
+use crate::gateway::request::{Answer, AnswerBody, Call, IncompleteBody, full_body};
 use crate::gateway::servers::ServerKey;
 use crate::gateway::slot::{NoSlot, Slot};
 use crate::gateway::table::{RouteKind, Service};
@@ -21,43 +21,44 @@
 use std::time::{Duration, Instant};
 use tokio::time::timeout;
 
-/// Largest answer of a plain service that is held until it is whole.
+/// Largest response of a plain service that is buffered until it is complete, in bytes.
 const MAX_BUFFERED: usize = 256 << 10;
-/// Most sendings of one request, refusals by servers included.
-const MOST_SENDINGS: usize = 4;
-/// Servers besides that may be tried and not reached before a request is given up. Each may take as
-/// long as a connection is waited for, so that a plain request's aim is past.
-const MOST_UNREACHED: usize = 4;
-/// Part of a plain route's aim after which a silent server is given up for another one.
-const SILENT_FRACTION: f64 = 0.6;
+/// Maximum number of sends of one request that reach a server, including those that the server declines.
+const MAX_SENDS: usize = 4;
+/// Number of unreachable servers, counted separately, after which a request is given up. Each may take the
+/// whole connect timeout, so by then a plain request has missed its latency target.
+const MAX_UNREACHED: usize = 4;
+/// Fraction of a plain route's latency target after which a silent server is given up for another one.
+const SILENCE_FRACTION: f64 = 0.6;
 
-/// What one sending came to. The proof is there while the request has never run.
-pub(crate) enum Sent {
-    /// An answer for the caller, whole or begun.
+/// The outcome of one send. [`NotSent`] is the proof that the request has never run; it is absent once that
+/// is not certain.
+pub(crate) enum SendOutcome {
+    /// A response for the caller, complete or streaming.
     Answered(Answer),
-    /// It may have run and failed; with the server's answer, where there is one to pass on.
+    /// The request may have run and failed; with the server's response, if there is one to pass on.
     Failed(Option<Answer>, &'static str),
-    /// No connection came about: nothing arrived at the server.
+    /// No connection was established: nothing arrived at the server.
     NotReached(Option<NotSent>),
-    /// This sending did not run.
+    /// The server did not run the request.
     NotRun(Option<NotSent>, &'static str),
 }
 
-/// One request on its way.
+/// The state of one request across its sends.
 struct Attempts<'a> {
     gateway: &'a Arc<Gateway>,
     call: &'a Arc<Call>,
     service: Arc<Service>,
-    /// Servers that were tried.
+    /// Servers that were tried, in order.
     tried: Vec<ServerKey>,
-    /// How many of them were not reached: the request never arrived there.
+    /// How many of these were unreachable, so that the request never arrived there.
     unreached: usize,
-    /// Sendings that may have run.
+    /// Number of sends that may have run.
     runs: u32,
 }
 
 impl Gateway {
-    /// Answers a request by its deadline.
+    /// Forwards a request and returns the response, at the latest at the deadline.
     pub async fn answer(self: &Arc<Self>, call: Call) -> Result<Answer, Failure> {
         let call = Arc::new(call);
         let attempt = self.attempt(&call);
@@ -66,7 +67,7 @@
             Err(Failure::unknown(Reason::new(
                 504,
                 "out_of_time",
-                "no answer within the time given",
+                "no response before the deadline",
             )))
         });
         let kind = call.route.kind.name();
@@ -96,27 +97,27 @@
 impl Attempts<'_> {
     async fn run(mut self, proof: NotSent) -> Result<Answer, Failure> {
         let mut proof = Some(proof);
-        // The latest answer of a server that failed the request.
+        // The latest error response of a server.
         let mut fallback = None;
         loop {
-            let slot = match self.slot_or_borrow().await {
+            let slot = match self.next_slot_or_borrow_quota().await {
                 Ok(slot) => slot,
                 Err(why) => return self.give_up(proof, fallback, why),
             };
             self.tried.push(slot.key());
-            match self.send_patiently(slot, proof.take()).await {
-                Sent::Answered(answer) => return Ok(answer),
-                Sent::NotReached(unspent) => {
-                    self.count_failed("not run by a server", "not_reached");
+            match self.send_with_timeout(slot, proof.take()).await {
+                SendOutcome::Answered(answer) => return Ok(answer),
+                SendOutcome::NotReached(returned) => {
+                    self.count_failed_send("server did not run the request", "not_reached");
                     self.unreached += 1;
-                    proof = unspent;
+                    proof = returned;
                 }
-                Sent::NotRun(unspent, why) => {
-                    self.count_failed("not run by a server", why);
-                    proof = unspent;
+                SendOutcome::NotRun(returned, why) => {
+                    self.count_failed_send("server did not run the request", why);
+                    proof = returned;
                 }
-                Sent::Failed(answer, why) => {
-                    self.count_failed("failed at a server", why);
+                SendOutcome::Failed(answer, why) => {
+                    self.count_failed_send("failed at a server", why);
                     self.runs += 1;
                     fallback = answer.or(fallback);
                     if !self.call.route.may_run_again(self.runs) {
@@ -127,8 +128,9 @@
         }
     }
 
-    /// The next server to try; where only servers in need could have room, also with a peer's.
-    async fn slot_or_borrow(&self) -> Result<Slot, NoSlot> {
+    /// Picks the next server to try. If only limited servers are left and this daemon has no quota for them,
+    /// borrows quota from a peer.
+    async fn next_slot_or_borrow_quota(&self) -> Result<Slot, NoSlot> {
         let now = time::now();
         match self.next_slot(now) {
             Err(why) if why.reason == SERVERS_IN_NEED => {
@@ -141,7 +143,7 @@
         }
     }
 
-    /// The next server to try, where the rules and the budget allow one.
+    /// Picks the next server to try, if the rules and the budget allow another send.
     fn next_slot(&self, now: Instant) -> Result<Slot, NoSlot> {
         if !self.gateway.is_authorized(self.call, now) {
             return Err("key_not_confirmed".into());
@@ -150,11 +152,11 @@
             return Err("daemon_leaves".into());
         }
         let arrived = self.tried.len() - self.unreached;
-        if arrived >= MOST_SENDINGS || self.unreached >= MOST_UNREACHED {
+        if arrived >= MAX_SENDS || self.unreached >= MAX_UNREACHED {
             let (servers, why) = (self.gateway.servers(), "servers_refuse".into());
             return Err(self.gateway.after_backoff(why, &servers, &self.service, self.call, now));
         }
-        // Only what arrives at a server beyond the first time counts as a repeat.
+        // Only a send after one that arrived at a server counts as a repeat.
         match arrived {
             0 => {
                 let admission_class = self.admission_class();
@@ -173,109 +175,114 @@
         }
     }
 
-    /// How the request stands to those that wait; one that continues a stream which broke off has begun.
+    /// The request's admission class. A request that continues an interrupted stream counts as begun.
     fn admission_class(&self) -> AdmissionClass {
         let call = self.call;
         match call.after {
             Some(_) => AdmissionClass::Begun,
-            None => AdmissionClass::of(call.left(call.arrived), call.route.timeout),
+            None => AdmissionClass::of(call.time_left(call.arrived), call.route.timeout),
         }
     }
 
-    /// Sends; a silent server is given up in time for another one where that may run too.
-    async fn send_patiently(&self, slot: Slot, proof: Option<NotSent>) -> Sent {
-        let (key, trial) = (slot.key(), slot.rollout_sample);
-        let Some(limit) = self.patience(&slot) else {
+    /// Sends the request. If it may run again, a silent server is given up in time to try another one.
+    async fn send_with_timeout(&self, slot: Slot, proof: Option<NotSent>) -> SendOutcome {
+        let (key, sample) = (slot.key(), slot.rollout_sample);
+        let Some(limit) = self.silence_timeout(&slot) else {
             return self.send(slot, proof).await;
         };
         timeout(limit, self.send(slot, proof)).await.unwrap_or_else(|_| {
             self.gateway.record_result(key, true);
-            if let Some(trial) = trial {
-                self.gateway.record_rollout_sample(trial, true);
+            if let Some(sample) = sample {
+                self.gateway.record_rollout_sample(sample, true);
             }
-            Sent::Failed(None, "silent")
+            SendOutcome::Failed(None, "silent")
         })
     }
 
-    async fn send(&self, mut slot: Slot, proof: Option<NotSent>) -> Sent {
-        let unrun = proof.is_some();
+    async fn send(&self, mut slot: Slot, proof: Option<NotSent>) -> SendOutcome {
+        let never_ran = proof.is_some();
         let now = time::now();
         slot.store_age = self.gateway.record_store_age(now);
-        let left = self.call.left(now);
+        let left = self.call.time_left(now);
         let after = self.call.after;
-        let sending = Sending { to: slot.place.destination.clone(), left, from: None, after };
+        let options = SendOptions {
+            to: slot.place.destination.clone(),
+            time_left: left,
+            resume_from: None,
+            after,
+        };
         self.gateway.log_server_remarks(self.call, slot.key(), now);
-        let reply = match self.gateway.wire.send(self.call, sending, proof).await {
+        let reply = match self.gateway.wire.send(self.call, options, proof).await {
             Ok(reply) => reply,
-            Err(lost) => return self.lost(&slot, lost).await,
+            Err(error) => return self.handle_send_error(&slot, error).await,
         };
         self.gateway.handle_remarks(slot.key(), &reply.remarks, now);
-        let declared = || unrun.then(NotSent::declared);
+        let declared = || never_ran.then(NotSent::declared);
         if reply.misdirected {
             self.gateway.servers().mark_leaving(slot.key(), time::now());
-            return Sent::NotRun(declared(), "replaced");
+            return SendOutcome::NotRun(declared(), "replaced");
         }
         if reply.declined && matches!(reply.status.as_u16(), 408 | 429 | 503) {
-            // It is idle, and would seem free to each daemon that it has not yet turned away.
+            // A server that declines is idle, so it looks free to every daemon that it has not declined yet.
             slot.record_refusal();
-            return Sent::NotRun(declared(), "declined");
+            return SendOutcome::NotRun(declared(), "declined");
         }
         if self.call.route.kind == RouteKind::Streaming && reply.status.is_success() {
             return relay::begin(self.gateway, self.call, &self.service, slot, reply).await;
         }
         let failed = reply.status.is_server_error();
         let status = reply.status.as_u16();
-        let answer = hold(reply).await;
+        let answer = read_answer(reply).await;
         slot.record_result(failed || answer.is_err());
         let (id, route) = (self.call.id.as_str(), self.call.route.name.as_str());
         let (server, whole) = (slot.id(), answer.is_ok());
         let ms = time::since(self.call.arrived).as_millis() as u64;
-        let knew = slot.store_age_ms();
-        info!(id = id, route = route, server = server, status = status, whole = whole, ms = ms, knowledge_ms = knew; "answer from a server");
+        let store_age_ms = slot.store_age_ms();
+        info!(id = id, route = route, server = server, status = status, whole = whole, ms = ms, knowledge_ms = store_age_ms; "response received");
         let Ok(answer) = answer else {
             self.gateway.handle_lost_run(self.call, &slot, RunProgress::NoEvents).await;
-            return Sent::Failed(None, "broken_answer");
+            return SendOutcome::Failed(None, "broken_answer");
         };
         self.gateway.note_survived(self.call);
         match failed {
-            true => Sent::Failed(Some(answer), "server_error"),
-            false => Sent::Answered(answer),
+            true => SendOutcome::Failed(Some(answer), "server_error"),
+            false => SendOutcome::Answered(answer),
         }
     }
 
-    async fn lost(&self, slot: &Slot, lost: Lost) -> Sent {
+    async fn handle_send_error(&self, slot: &Slot, error: SendError) -> SendOutcome {
         slot.record_result(true);
         let (id, server) = (self.call.id.as_str(), slot.id());
-        match lost {
-            Lost::Unsent { proof, refused, reason } => {
+        match error {
+            SendError::Unsent { proof, refused, reason } => {
                 slot.record_connect_failure(refused);
-                warn!(id = id, server = server, reason = reason.as_str(); "server not reached");
-                Sent::NotReached(proof)
+                warn!(id = id, server = server, reason = reason.as_str(); "could not reach server");
+                SendOutcome::NotReached(proof)
             }
-            Lost::Unanswered { reason } => {
-                warn!(id = id, server = server, reason = reason.as_str(); "no answer from a server");
+            SendError::Unanswered { reason } => {
+                warn!(id = id, server = server, reason = reason.as_str(); "no response from server");
                 self.gateway.handle_lost_run(self.call, slot, RunProgress::NoEvents).await;
-                Sent::Failed(None, "no_answer")
+                SendOutcome::Failed(None, "no_answer")
             }
         }
     }
 
-    /// How long a silent server is waited for while another run is allowed.
-    fn patience(&self, slot: &Slot) -> Option<Duration> {
+    /// How long to wait for a silent server; `None` (no limit) if the request may not run again.
+    fn silence_timeout(&self, slot: &Slot) -> Option<Duration> {
         if !self.call.route.may_run_again(self.runs + 1) {
             return None;
         }
-        let aim = self.call.route.latency_slo;
+        let latency_slo = self.call.route.latency_slo;
         Some(match self.call.route.kind {
-            RouteKind::Safe => aim.mul_f64(SILENT_FRACTION),
+            RouteKind::Safe => latency_slo.mul_f64(SILENCE_FRACTION),
             _ => admission::first_event_timeout(
-                aim,
+                latency_slo,
                 slot.waiting_tokens + slot.place.load.unread_prompt,
             ),
         })
     }
 
-    fn count_failed(&self, what: &str, why: &str) {
+    fn count_failed_send(&self, what: &str, why: &str) {
         self.gateway.metrics.failed_sendings.with_label_values(&[why]).inc();
         self.log(what, why);
     }
@@ -288,7 +295,7 @@
         info!(id = id, route = route, request = request.as_str(), server = server, sending = self.tried.len(), why = why; "{what}");
     }
 
-    /// The final answer to a request that is not sent any more.
+    /// The final response to a request that is not sent again.
     fn give_up(
         &self,
         proof: Option<NotSent>,
@@ -304,22 +311,25 @@
                 Err(refused(proof, why))
             }
             None => {
-                let reason =
-                    Reason::new(502, why.reason, "the backend server gave no whole answer");
+                let reason = Reason::new(
+                    502,
+                    why.reason,
+                    "the backend server did not return a complete response",
+                );
                 fallback.ok_or(Failure::unknown(reason))
             }
         }
     }
 }
 
-/// A refusal of a request that did not run.
+/// The failure for a request that did not run.
 pub(crate) fn refused(proof: NotSent, why: NoSlot) -> Failure {
     let reason = Reason::new(503, why.reason, "not run; send the request again after Retry-After");
     Failure::not_run(proof, reason.retry_after(why.retry_after.as_millis() as u64))
 }
 
-/// Reads a plain answer until it is whole; one that is too large is passed on as it comes.
-async fn hold(reply: Reply) -> Result<Answer, BrokenOff> {
+/// Reads a plain response until it is complete; one that exceeds [`MAX_BUFFERED`] is streamed to the caller.
+async fn read_answer(reply: Reply) -> Result<Answer, IncompleteBody> {
     let Reply { status, headers, mut body, .. } = reply;
     let mut buffered = BytesMut::new();
     while let Some(frame) = body.frame().await {
@@ -327,14 +337,14 @@
             buffered.extend_from_slice(&data);
         }
         if buffered.len() > MAX_BUFFERED {
-            return Ok(Answer { status, headers, body: continued(buffered.freeze(), body) });
+            return Ok(Answer { status, headers, body: with_first_part(buffered.freeze(), body) });
         }
     }
     Ok(Answer { status, headers, body: full_body(buffered.freeze()) })
 }
 
-/// A body whose first part has been read.
-fn continued(first: Bytes, rest: AnswerBody) -> AnswerBody {
+/// Puts the part that has been read back in front of a body.
+fn with_first_part(first: Bytes, rest: AnswerBody) -> AnswerBody {
     let first = futures_util::stream::once(async { Ok(Frame::data(first)) });
     StreamBody::new(first.chain(BodyStream::new(rest))).boxed_unsync()
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -1,19 +1,19 @@
-//! Passing a stream of events on to its caller, over every server that its run lives on.
+//! Relays a stream of events to its caller, across all servers that run the request.
 //!
-//! Whole events only, in the order of their ids, each once. When the server is about to leave,
-//! the run is carried over to another one while its events go on.
+//! Only complete events are relayed, in the order of their ids, each once. If the server is about to leave,
+//! the run is moved to another one while its events continue.
 
 use crate::gateway::admission::AdmissionClass;
 use crate::gateway::core::Gateway;
 use crate::gateway::events::Event;
-use crate::gateway::forward::Sent;
-use crate::gateway::moving::{self, Moved};
-use crate::gateway::port::{Reply, RunCopy, Sending};
+use crate::gateway::forward::SendOutcome;
+use crate::gateway::moving::{self, MoveOutcome};
+use crate::gateway::port::{Reply, RunCopy, SendOptions};
 use crate::gateway::quarantine::RunProgress;
-use crate::gateway::request::{Answer, BrokenOff, Call};
+use crate::gateway::request::{Answer, Call, IncompleteBody};
 use crate::gateway::slot::Slot;
 use crate::gateway::table::Service;
-use crate::gateway::upstream::{Step, Upstream, reopen};
+use crate::gateway::upstream::{StreamItem, Upstream, reopen};
 use crate::time;
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
@@ -26,288 +26,316 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Events that wait for a slow caller before its server is held up.
-const QUEUE: usize = 16;
-/// Moves tried for one run at one server.
-const MOST_MOVES: u32 = 4;
-/// Pause before a run that could not be moved is tried again: about the time of one copy, after which
-/// there may be room elsewhere.
-const MOVE_PAUSE: Duration = Duration::from_millis(100);
-/// Silence of a stream after which its server is asked whether the run goes on: longer than almost all
-/// pauses of a sound stream, and a small part of what callers wait.
-const SILENCE: Duration = Duration::from_millis(1_000);
-/// Time between two such questions: reports are about so old.
-const LOOK_AGAIN: Duration = Duration::from_millis(500);
-/// Longest time for the answer.
-const LOOK_LIMIT: Duration = Duration::from_millis(300);
+/// Events that are queued for a slow caller before backpressure reaches the server.
+const EVENT_QUEUE: usize = 16;
+/// Maximum number of attempts to move one run away from one server.
+const MAX_MOVES: u32 = 4;
+/// Delay before another attempt to move a run: about the time of one copy, after which another server may
+/// have free memory.
+const MOVE_RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Silence of a stream after which its server is asked whether the run continues. Longer than almost all
+/// pauses of a healthy stream, and a small fraction of the time that callers wait.
+const SILENCE_BEFORE_PROBE: Duration = Duration::from_millis(1_000);
+/// Interval between such probes: about the age of a server's report.
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
+/// Longest time to wait for a probe's answer.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long the last events of a stopped run may take to arrive after the copy is complete.
-const LAST_EVENTS: Duration = Duration::from_millis(60);
-/// How long a run whose stream has ended is waited for by its copy.
-const LAST_COPY: Duration = Duration::from_millis(2_500);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(60);
+/// How long to wait for the last copy after the stream of the stopped run has ended.
+const FINAL_COPY_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Time from the first event within which a run has just begun. A server that a request ends is gone 0.13 s
-/// after the beginning at the latest, as seen, and a busy daemon reads that some tenths later.
-const YOUNG: Duration = Duration::from_millis(500);
+/// Time from the first event within which a run counts as starting up. A server that is crashed by a request
+/// is gone at most 0.13 s after the start, and a busy daemon notices that some tenths of a second later.
+const STARTUP_PERIOD: Duration = Duration::from_millis(500);
 
-type Out = mpsc::Sender<Result<Frame<Bytes>, BrokenOff>>;
+type EventSender = mpsc::Sender<Result<Frame<Bytes>, IncompleteBody>>;
 
-/// Waits for the first event, so that a server that fails before it can be replaced, then passes
-/// the stream on in a task of its own.
+/// Waits for the first event, then relays the stream in a task of its own. If the server fails before its
+/// first event, nothing has reached the caller and another server can be tried.
 pub(crate) async fn begin(
     gateway: &Arc<Gateway>,
     call: &Arc<Call>,
     service: &Arc<Service>,
     mut slot: Slot,
     reply: Reply,
-) -> Sent {
+) -> SendOutcome {
     let Reply { status, headers, body, .. } = reply;
     let mut upstream = Upstream::new(body);
     let first = match upstream.next().await {
-        Step::Event(event) => event,
-        Step::Ended | Step::Broke(_) => {
+        StreamItem::Event(event) => event,
+        StreamItem::Ended | StreamItem::BrokeOff(_) => {
             slot.record_result(true);
             gateway.handle_lost_run(call, &slot, RunProgress::NoEvents).await;
-            return Sent::Failed(None, "no_event");
+            return SendOutcome::Failed(None, "no_event");
         }
     };
     slot.record_result(false);
     slot.record_prompt_read();
     let (id, route) = (call.id.as_str(), call.route.name.as_str());
     let ms = time::since(call.arrived).as_millis() as u64;
-    let knew = slot.store_age_ms();
-    info!(id = id, route = route, server = slot.id(), ms = ms, tokens = call.size.tokens(), knowledge_ms = knew; "stream begun");
-    let (out, events) = mpsc::channel(QUEUE);
+    let store_age_ms = slot.store_age_ms();
+    info!(id = id, route = route, server = slot.id(), ms = ms, tokens = call.size.peak_tokens(), knowledge_ms = store_age_ms; "stream begun");
+    let (event_sender, events) = mpsc::channel(EVENT_QUEUE);
     let relay = Relay {
         gateway: gateway.clone(),
         call: call.clone(),
         service: service.clone(),
         slot,
         upstream,
-        last: call.after,
-        passed: time::now(),
-        began: None,
+        last_event_id: call.after,
+        last_forwarded_at: time::now(),
+        first_event_at: None,
         survived: false,
-        out,
+        event_sender,
         runs: 1,
-        moves: 0,
-        stays: None,
-        looked: None,
+        move_attempts: 0,
+        move_failed_at: None,
+        last_probe: None,
     };
     tokio::spawn(relay.run(first));
     let events = futures_util::stream::unfold(events, |mut events| async {
         events.recv().await.map(|event| (event, events))
     });
-    Sent::Answered(Answer { status, headers, body: StreamBody::new(events).boxed_unsync() })
+    SendOutcome::Answered(Answer { status, headers, body: StreamBody::new(events).boxed_unsync() })
 }
 
 /// How a relay ends.
-enum End {
+enum RelayEnd {
+    /// All events were relayed.
     Complete,
+    /// The caller closed the connection.
     CallerLeft,
+    /// The stream cannot be continued, for this reason.
     Broken(String),
 }
 
+/// The state of one relayed stream.
 struct Relay {
     gateway: Arc<Gateway>,
     call: Arc<Call>,
     service: Arc<Service>,
     slot: Slot,
     upstream: Upstream,
-    /// Id of the last event passed on.
-    last: Option<u64>,
-    /// When it was passed on.
-    passed: Instant,
-    out: Out,
-    /// Runs begun for this answer.
+    /// Id of the last event that the caller was sent.
+    last_event_id: Option<u64>,
+    /// When an event was last sent to the caller; initially, when the relay began.
+    last_forwarded_at: Instant,
+    event_sender: EventSender,
+    /// Number of runs started for this response.
     runs: u32,
-    /// When the present server sent its first event.
-    began: Option<Instant>,
-    /// Whether it was noted that the present server survived the run.
+    /// When the current server sent its first event.
+    first_event_at: Option<Instant>,
+    /// Whether it is recorded that the current server survived the request.
     survived: bool,
-    /// Moves tried from the present server.
-    moves: u32,
-    /// When the last of them came to nothing.
-    stays: Option<Instant>,
-    /// What the server last said of a run whose stream is silent.
-    looked: Option<Looked>,
+    /// Number of attempts to move the run away from the current server.
+    move_attempts: u32,
+    /// When the last attempt failed.
+    move_failed_at: Option<Instant>,
+    /// The last probe of a silent stream; reset by each event.
+    last_probe: Option<Probe>,
 }
 
-/// What a server said of a run.
+/// A server's answer when probed about a silent run.
 #[derive(Debug, Clone, Copy)]
-struct Looked {
+struct Probe {
+    /// When the server answered.
     at: Instant,
-    /// Events that the run had made; `None` where the server did not run it or did not answer.
-    made: Option<u64>,
+    /// Number of events that the run had produced; `None` if the server did not run it or did not answer.
+    events: Option<u64>,
 }
 
-/// A move under way.
+/// A move in progress.
 struct Moving {
-    done: BoxFuture<'static, Moved>,
-    /// Whether the run was told to stop at its server.
+    /// Completes when the move has ended.
+    done: BoxFuture<'static, MoveOutcome>,
+    /// Set right before the run is told to stop at its server.
     stopping: Arc<AtomicBool>,
 }
 
-enum Happened {
+/// What the relay has to handle next.
+enum Wakeup {
+    /// The deadline has passed.
     OutOfTime,
+    /// The server is about to leave.
     Notice,
+    /// The stream has been silent for long enough to probe the server.
     Silence,
-    Moved(Box<Moved>),
-    Step(Step),
+    /// The move in progress has ended.
+    Moved(Box<MoveOutcome>),
+    /// The server's stream has delivered an item.
+    Item(StreamItem),
 }
 
 impl Relay {
+    /// Relays the whole stream and logs how it ended.
     async fn run(mut self, first: Event) {
-        let caller = self.out.clone();
+        let caller = self.event_sender.clone();
         let end = tokio::select! {
             biased;
-            // Whatever is under way is given up with its caller.
-            () = caller.closed() => End::CallerLeft,
-            end = self.pass_all_on(first) => end,
+            // If the caller closes the connection, everything in progress is dropped.
+            () = caller.closed() => RelayEnd::CallerLeft,
+            end = self.relay_all(first) => end,
         };
         let (id, server) = (self.call.id.as_str(), self.slot.id());
         match end {
-            End::Complete => {
+            RelayEnd::Complete => {
                 let ms = time::since(self.call.arrived).as_millis() as u64;
                 self.gateway.note_survived(&self.call);
-                info!(id = id, server = server, last = self.last, ms = ms; "stream complete");
+                info!(id = id, server = server, last = self.last_event_id, ms = ms; "stream complete");
             }
-            End::CallerLeft => info!(id = id, server = server, last = self.last; "caller left"),
-            End::Broken(reason) => {
+            RelayEnd::CallerLeft => {
+                info!(id = id, server = server, last = self.last_event_id; "caller left")
+            }
+            RelayEnd::Broken(reason) => {
                 self.gateway.metrics.cut_streams.inc();
                 let leaving = *self.slot.notice.borrow();
                 let request = self.call.fingerprint().to_string();
-                warn!(id = id, request = request.as_str(), server = server, leaving = leaving, last = self.last, why = reason.as_str(); "stream cut");
-                // Refused only where the caller has left.
-                let _ = self.out.send(Err(BrokenOff { reason })).await;
+                warn!(id = id, request = request.as_str(), server = server, leaving = leaving, last = self.last_event_id, why = reason.as_str(); "stream cut");
+                // Fails only if the caller has closed the connection.
+                let _ = self.event_sender.send(Err(IncompleteBody { reason })).await;
             }
         }
     }
 
-    async fn pass_all_on(&mut self, first: Event) -> End {
-        match self.pass_on(first).await {
-            Ok(()) => self.follow().await,
+    /// Relays the first event and all that follow.
+    async fn relay_all(&mut self, first: Event) -> RelayEnd {
+        match self.forward_event(first).await {
+            Ok(()) => self.relay_events().await,
             Err(end) => end,
         }
     }
 
-    async fn follow(&mut self) -> End {
+    /// Relays events until the stream ends, moving or restarting the run where needed.
+    async fn relay_events(&mut self) -> RelayEnd {
         let deadline = time::sleep_until(self.call.deadline);
         tokio::pin!(deadline);
         let mut moving: Option<Moving> = None;
         loop {
-            // Events come more often than the pause between moves, so that its end is not missed.
-            let may_move = moving.is_none() && self.may_move(time::now());
-            let may_look = moving.is_none() && self.can_move();
-            let look = time::sleep_until(self.next_look());
-            let happened = tokio::select! {
+            // No timer is needed for the end of `MOVE_RETRY_PAUSE`: each event comes back here, and events
+            // arrive more often than that.
+            let may_move_now = moving.is_none() && self.may_move_now(time::now());
+            let may_probe = moving.is_none() && self.can_move();
+            let probe_timer = time::sleep_until(self.next_probe());
+            let wakeup = tokio::select! {
                 biased;
-                () = &mut deadline => Happened::OutOfTime,
-                moved = finished(&mut moving) => Happened::Moved(Box::new(moved)),
-                () = noticed(&mut self.slot), if may_move => Happened::Notice,
-                step = self.upstream.next() => Happened::Step(step),
-                () = look, if may_look => Happened::Silence,
+                () = &mut deadline => Wakeup::OutOfTime,
+                moved = wait_for_move(&mut moving) => Wakeup::Moved(Box::new(moved)),
+                () = wait_for_notice(&mut self.slot), if may_move_now => Wakeup::Notice,
+                item = self.upstream.next() => Wakeup::Item(item),
+                () = probe_timer, if may_probe => Wakeup::Silence,
             };
-            let ended = match happened {
-                Happened::OutOfTime => return End::Broken("out of time".into()),
-                Happened::Notice => {
-                    moving = Some(self.start_moving("server leaves"));
+            let result = match wakeup {
+                Wakeup::OutOfTime => return RelayEnd::Broken("out of time".into()),
+                Wakeup::Notice => {
+                    moving = Some(self.start_move("server is leaving"));
                     continue;
                 }
-                Happened::Silence => {
-                    if self.goes_on_unheard().await {
-                        moving = Some(self.start_moving("connection silent"));
+                Wakeup::Silence => {
+                    if self.progresses_at_server().await {
+                        moving = Some(self.start_move("connection is silent"));
                     }
                     continue;
                 }
-                Happened::Moved(moved) => {
+                Wakeup::Moved(moved) => {
                     moving = None;
-                    self.moved(*moved).await
+                    self.handle_move(*moved).await
                 }
-                Happened::Step(Step::Event(event)) => self.pass_on(event).await,
-                Happened::Step(Step::Ended) => return End::Complete,
-                Happened::Step(Step::Broke(why)) => match is_stopping(&moving) {
-                    true => self.finish_moving(moving.take()).await,
+                Wakeup::Item(StreamItem::Event(event)) => self.forward_event(event).await,
+                Wakeup::Item(StreamItem::Ended) => return RelayEnd::Complete,
+                Wakeup::Item(StreamItem::BrokeOff(why)) => match is_stopping(&moving) {
+                    true => self.finish_move(moving.take()).await,
                     false => {
                         moving = None;
-                        if self.is_young(time::now()) {
-                            let run =
-                                self.began.map_or(RunProgress::NoEvents, |_| RunProgress::Begun);
+                        if self.is_starting_up(time::now()) {
+                            let run = self
+                                .first_event_at
+                                .map_or(RunProgress::NoEvents, |_| RunProgress::Begun);
                             self.gateway.handle_lost_run(&self.call, &self.slot, run).await;
                         }
-                        self.run_again(why).await
+                        self.restart(why).await
                     }
                 },
             };
-            if let Err(end) = ended {
+            if let Err(end) = result {
                 return end;
             }
         }
     }
 
-    /// Passes an event on unless the caller has it.
-    async fn pass_on(&mut self, event: Event) -> Result<(), End> {
+    /// Sends an event to the caller, unless the caller already has it.
+    async fn forward_event(&mut self, event: Event) -> Result<(), RelayEnd> {
         let now = time::now();
-        self.began.get_or_insert(now);
-        if !self.survived && !self.is_young(now) {
+        self.first_event_at.get_or_insert(now);
+        if !self.survived && !self.is_starting_up(now) {
             self.survived = true;
             self.gateway.note_survived(&self.call);
         }
-        if event.id.is_some() && event.id <= self.last {
+        if event.id.is_some() && event.id <= self.last_event_id {
             return Ok(());
         }
-        self.last = event.id.or(self.last);
-        let pause = now.saturating_duration_since(self.passed);
-        self.passed = now;
-        self.looked = None;
+        self.last_event_id = event.id.or(self.last_event_id);
+        let pause = now.saturating_duration_since(self.last_forwarded_at);
+        self.last_forwarded_at = now;
+        self.last_probe = None;
         let kind = self.call.route.kind.name();
         self.gateway.metrics.pause_seconds.with_label_values(&[kind]).observe(pause.as_secs_f64());
-        let sent = self.out.send(Ok(Frame::data(event.bytes))).await;
-        sent.map_err(|_| End::CallerLeft)
+        let sent = self.event_sender.send(Ok(Frame::data(event.bytes))).await;
+        sent.map_err(|_| RelayEnd::CallerLeft)
     }
 
-    fn may_move(&self, now: Instant) -> bool {
-        let again = self.call.route.repeatable();
-        let paused = self.stays.is_some_and(|at| now.saturating_duration_since(at) < MOVE_PAUSE);
-        !again && !paused && self.can_move()
+    /// Whether to move the run if its server gives notice. A request that may run again is not moved.
+    fn may_move_now(&self, now: Instant) -> bool {
+        let repeatable = self.call.route.repeatable();
+        let paused = self
+            .move_failed_at
+            .is_some_and(|at| now.saturating_duration_since(at) < MOVE_RETRY_PAUSE);
+        !repeatable && !paused && self.can_move()
     }
 
+    /// Whether the service's engine can move runs and this run has attempts left.
     fn can_move(&self) -> bool {
-        self.moves < MOST_MOVES && self.service.engine.as_ref().is_some_and(|e| e.supports_moves)
+        self.move_attempts < MAX_MOVES
+            && self.service.engine.as_ref().is_some_and(|e| e.supports_moves)
     }
 
-    /// When the server is to be asked about a silent stream.
-    fn next_look(&self) -> Instant {
-        self.looked.map_or(self.passed + SILENCE, |looked| looked.at + LOOK_AGAIN)
+    /// When to probe the server about a silent stream.
+    fn next_probe(&self) -> Instant {
+        self.last_probe.map_or(self.last_forwarded_at + SILENCE_BEFORE_PROBE, |probe| {
+            probe.at + PROBE_INTERVAL
+        })
     }
 
-    /// Whether a run whose stream is silent goes on at its server: then it is the connection that is
-    /// silent. A run that makes nothing, as one that waits for memory, stays where it is.
-    async fn goes_on_unheard(&mut self) -> bool {
+    /// Whether a run whose stream is silent has produced events at its server since the last probe. If so,
+    /// the connection is at fault. A run that produces nothing, for example while it waits for memory, is not
+    /// moved.
+    async fn progresses_at_server(&mut self) -> bool {
         let now = time::now();
         if self.gateway.servers().is_backing_off(self.slot.key(), now) {
-            self.looked = Some(Looked { at: now, made: None });
+            self.last_probe = Some(Probe { at: now, events: None });
             return false;
         }
         let (server, run) = (self.slot.place.destination.addr, self.call.id.as_str());
         let asked = time::now();
-        let made = match self.gateway.wire.report(server, LOOK_LIMIT).await {
+        let events = match self.gateway.wire.report(server, PROBE_TIMEOUT).await {
             Ok(report) => {
                 self.gateway.handle_remarks(self.slot.key(), &report.remarks, asked);
                 report.runs.get(run).copied()
             }
             Err(why) => {
-                info!(id = run, server = self.slot.id(), why = why.as_str(); "silent stream, no report");
+                info!(id = run, server = self.slot.id(), why = why.as_str(); "server of a silent stream sent no report");
                 None
             }
         };
-        let before = self.looked.and_then(|looked| looked.made);
-        self.looked = Some(Looked { at: time::now(), made });
-        made.zip(before).is_some_and(|(made, before)| made > before)
+        let earlier = self.last_probe.and_then(|probe| probe.events);
+        self.last_probe = Some(Probe { at: time::now(), events });
+        events.zip(earlier).is_some_and(|(events, earlier)| events > earlier)
     }
 
-    fn start_moving(&mut self, why: &str) -> Moving {
-        self.moves += 1;
-        info!(id = self.call.id.as_str(), server = self.slot.id(), last = self.last, why = why; "run is to be moved");
+    /// Starts to move the run to another server; `why` is logged.
+    fn start_move(&mut self, why: &str) -> Moving {
+        self.move_attempts += 1;
+        info!(id = self.call.id.as_str(), server = self.slot.id(), last = self.last_event_id, why = why; "moving run");
         let stopping = Arc::new(AtomicBool::new(false));
         let done = moving::move_run(
             self.gateway.clone(),
@@ -319,142 +347,156 @@
         Moving { done: Box::pin(done), stopping }
     }
 
-    /// The run's stream has closed because the run was stopped: waits for its copy.
-    async fn finish_moving(&mut self, moving: Option<Moving>) -> Result<(), End> {
+    /// Waits for the last copy of a run after its stream has closed because the run was stopped.
+    async fn finish_move(&mut self, moving: Option<Moving>) -> Result<(), RelayEnd> {
         let Some(moving) = moving else {
-            return Err(End::Broken("stopped without a copy".into()));
+            return Err(RelayEnd::Broken("the run was stopped without a copy".into()));
         };
-        match timeout(LAST_COPY, moving.done).await {
-            Ok(Moved::Stays(why)) => self.run_again(why.into()).await,
-            Ok(moved) => self.moved(moved).await,
-            Err(_) => self.run_again("the copy did not end".into()).await,
+        match timeout(FINAL_COPY_TIMEOUT, moving.done).await {
+            Ok(MoveOutcome::NotMoved(why)) => self.restart(why.into()).await,
+            Ok(moved) => self.handle_move(moved).await,
+            Err(_) => self.restart("the last copy did not complete in time".into()).await,
         }
     }
 
-    async fn moved(&mut self, moved: Moved) -> Result<(), End> {
+    /// Continues the stream after a move has ended.
+    async fn handle_move(&mut self, moved: MoveOutcome) -> Result<(), RelayEnd> {
         match moved {
-            Moved::Stays(why) => {
-                self.count_move(why);
-                self.stays = Some(time::now());
+            MoveOutcome::NotMoved(why) => {
+                self.count_move_outcome(why);
+                self.move_failed_at = Some(time::now());
                 info!(id = self.call.id.as_str(), server = self.slot.id(), why = why; "run not moved");
                 Ok(())
             }
-            Moved::Stopped { kept, slot } => {
+            MoveOutcome::Stopped { copy, slot } => {
                 self.drain_upstream().await?;
-                self.go_on(kept, Some(*slot)).await
+                self.resume(copy, Some(*slot)).await
             }
-            Moved::SourceKeeps(kept) => {
+            MoveOutcome::KeptAtSource(copy) => {
                 self.drain_upstream().await?;
-                self.go_on(kept, None).await
+                self.resume(copy, None).await
             }
         }
     }
 
-    /// Passes on what a stopped run still sent.
-    async fn drain_upstream(&mut self) -> Result<(), End> {
-        let until = time::now() + LAST_EVENTS;
-        while let Some(Step::Event(event)) = time::timeout_at(until, self.upstream.next()).await {
-            self.pass_on(event).await?;
+    /// Relays the events that a stopped run has still sent.
+    async fn drain_upstream(&mut self) -> Result<(), RelayEnd> {
+        let until = time::now() + DRAIN_TIMEOUT;
+        while let Some(StreamItem::Event(event)) =
+            time::timeout_at(until, self.upstream.next()).await
+        {
+            self.forward_event(event).await?;
         }
         Ok(())
     }
 
-    /// Goes on from a copy at another server, or from what the stopped run left at its own. It is
-    /// the same run, accepted while its key held: a key that was taken away since does not cut it.
-    async fn go_on(&mut self, kept: RunCopy, slot: Option<Slot>) -> Result<(), End> {
+    /// Resumes the run from its copy: at another server, or without a slot at the server where it was
+    /// stopped. The API key is not checked again: the run was accepted with a valid key, and a later
+    /// revocation does not cut it.
+    async fn resume(&mut self, copy: RunCopy, slot: Option<Slot>) -> Result<(), RelayEnd> {
         let to = slot
             .as_ref()
             .map_or(&self.slot.place.destination, |slot| &slot.place.destination)
             .clone();
         let now = time::now();
         let key = slot.as_ref().map_or(self.slot.key(), Slot::key);
-        let sending =
-            Sending { to, left: self.call.left(now), from: Some(kept.clone()), after: self.last };
+        let options = SendOptions {
+            to,
+            time_left: self.call.time_left(now),
+            resume_from: Some(copy.clone()),
+            after: self.last_event_id,
+        };
         let elsewhere = slot.is_some();
         if !elsewhere {
             self.gateway.servers().use_quota(key);
         }
-        // Nothing more is sent to a hall that was closed a while ago or to a server that rests, not even what ran
-        // there.
-        let may_follow = self.gateway.servers().accepts_in_flight(key, now);
-        let reopened = match may_follow {
-            true => reopen(&self.gateway, &self.call, key, sending).await,
-            false => Err("its hall is closed, or it rests".into()),
+        // Nothing is sent to a hall that was closed a while ago or to a server that is backing off, not even
+        // a run that was there before.
+        let accepted = self.gateway.servers().accepts_in_flight(key, now);
+        let reopened = match accepted {
+            true => reopen(&self.gateway, &self.call, key, options).await,
+            false => Err("the hall is closed or the server is backing off".into()),
         };
         let why = match reopened {
             Ok(upstream) => {
                 self.upstream = upstream;
                 if let Some(slot) = slot {
-                    (self.began, self.survived) = (None, false);
-                    self.count_move("moved");
-                    info!(id = self.call.id.as_str(), from = self.slot.id(), to = slot.id(), last = self.last; "run moved");
+                    (self.first_event_at, self.survived) = (None, false);
+                    self.count_move_outcome("moved");
+                    info!(id = self.call.id.as_str(), from = self.slot.id(), to = slot.id(), last = self.last_event_id; "run moved");
                     self.slot = slot;
-                    self.moves = 0;
+                    self.move_attempts = 0;
                 }
                 return Ok(());
             }
             Err(why) => why,
         };
-        warn!(id = self.call.id.as_str(), why = why.as_str(), elsewhere = elsewhere; "run not taken over");
-        if elsewhere { Box::pin(self.go_on(kept, None)).await } else { self.run_again(why).await }
+        warn!(id = self.call.id.as_str(), why = why.as_str(), elsewhere = elsewhere; "run not resumed");
+        if elsewhere { Box::pin(self.resume(copy, None)).await } else { self.restart(why).await }
     }
 
-    fn count_move(&self, outcome: &str) {
+    fn count_move_outcome(&self, outcome: &str) {
         self.gateway.metrics.moves.with_label_values(&[outcome]).inc();
     }
 
-    /// Whether the run has begun at its present server just now.
-    fn is_young(&self, now: Instant) -> bool {
-        self.began.is_none_or(|began| now.saturating_duration_since(began) < YOUNG)
+    /// Whether the run has only just started at its current server (see [`STARTUP_PERIOD`]).
+    fn is_starting_up(&self, now: Instant) -> bool {
+        self.first_event_at.is_none_or(|first_event_at| {
+            now.saturating_duration_since(first_event_at) < STARTUP_PERIOD
+        })
     }
 
-    /// Runs the request anew at another server, from the last event on, where it may run again.
-    async fn run_again(&mut self, why: String) -> Result<(), End> {
+    /// Runs the request again at another server, if that is allowed. The stream continues after the last
+    /// event.
+    async fn restart(&mut self, why: String) -> Result<(), RelayEnd> {
         let now = time::now();
         self.slot.record_result(true);
         let allowed = self.call.route.may_run_again(self.runs);
         if !allowed || !self.gateway.is_authorized(&self.call, now) {
-            return Err(End::Broken(why));
+            return Err(RelayEnd::Broken(why));
         }
         let tried = [self.slot.key()];
-        let begun = AdmissionClass::Begun;
-        let Ok(slot) = self.gateway.slot_for_retry(&self.service, &self.call, begun, &tried, now)
+        let admission_class = AdmissionClass::Begun;
+        let Ok(slot) =
+            self.gateway.slot_for_retry(&self.service, &self.call, admission_class, &tried, now)
         else {
-            return Err(End::Broken(why));
+            return Err(RelayEnd::Broken(why));
         };
         self.runs += 1;
-        let sending = Sending {
+        let options = SendOptions {
             to: slot.place.destination.clone(),
-            left: self.call.left(now),
-            from: None,
-            after: self.last,
+            time_left: self.call.time_left(now),
+            resume_from: None,
+            after: self.last_event_id,
         };
         let request = self.call.fingerprint().to_string();
         info!(id = self.call.id.as_str(), request = request.as_str(), server = self.slot.id(), why = why.as_str(); "stream broke off");
         let key = slot.key();
         self.upstream =
-            reopen(&self.gateway, &self.call, key, sending).await.map_err(End::Broken)?;
-        info!(id = self.call.id.as_str(), from = self.slot.id(), to = slot.id(), why = why.as_str(), last = self.last; "run begun anew");
+            reopen(&self.gateway, &self.call, key, options).await.map_err(RelayEnd::Broken)?;
+        info!(id = self.call.id.as_str(), from = self.slot.id(), to = slot.id(), why = why.as_str(), last = self.last_event_id; "run restarted at another server");
         self.slot = slot;
-        (self.began, self.survived) = (None, false);
-        self.moves = 0;
+        (self.first_event_at, self.survived) = (None, false);
+        self.move_attempts = 0;
         Ok(())
     }
 }
 
+/// Whether a move is in progress and its run was told to stop.
 fn is_stopping(moving: &Option<Moving>) -> bool {
     moving.as_ref().is_some_and(|m| m.stopping.load(Ordering::Relaxed))
 }
 
-async fn finished(moving: &mut Option<Moving>) -> Moved {
+/// Waits for the end of a move; forever if none is in progress.
+async fn wait_for_move(moving: &mut Option<Moving>) -> MoveOutcome {
     match moving {
         Some(moving) => moving.done.as_mut().await,
         None => std::future::pending().await,
     }
 }
 
-/// Returns once the server is about to leave.
-async fn noticed(slot: &mut Slot) {
-    // An error means that the server is no longer in the table: it has gone as well.
+/// Waits until the server is about to leave.
+async fn wait_for_notice(slot: &mut Slot) {
+    // An error means that the server is no longer in the table, which is treated as a notice, too.
     drop(slot.notice.wait_for(|leaving| *leaving).await);
 }
