--- a/src/gateway/rollout/controller.rs
+++ b/src/gateway/rollout/controller.rs
@@ -43,9 +43,9 @@
         match &order {
             Some(order) => {
                 let ms = order.time_limit.as_millis() as u64;
-                info!(service = service, version = &*order.version, ms = ms; "rollout ordered");
+                info!(service = service, version = &*order.version, ms = ms; "roll-out ordered");
             }
-            None => info!(service = service; "rollout withdrawn"),
+            None => info!(service = service; "roll-out withdrawn"),
         }
         self.rollouts().set_order(service, position, order, now);
         self.update_rollouts(now);
@@ -97,7 +97,7 @@
             };
             if self.servers().retire(&service, retired.clone()) {
                 let why = halt_reason.unwrap_or("recorded");
-                info!(service = &*service, version = &*version, retired = format!("{retired:?}").as_str(), why = why; "retired servers of a rollout changed");
+                info!(service = &*service, version = &*version, retired = format!("{retired:?}").as_str(), why = why; "retired servers of a roll-out changed");
             }
         }
     }
@@ -237,15 +237,15 @@
     async fn write_record(&self, service: &Arc<str>, replaced: Position, record: Record) {
         match self.write(service, replaced, &record).await {
             Ok(Swap::Won(revision)) => {
-                info!(service = &**service, state = record.state.name(), why = record.why.as_str(); "rollout step recorded");
+                info!(service = &**service, state = record.state.name(), why = record.why.as_str(); "roll-out step recorded");
                 self.gateway.apply_rollout_record(service, revision, record, time::now());
             }
             // The other daemon's record arrives with the copy of the store.
             Ok(Swap::Lost) => {
-                info!(service = &**service; "rollout step already recorded by another daemon")
+                info!(service = &**service; "roll-out step already recorded by another daemon")
             }
             Err(e) => {
-                warn!(service = &**service, state = record.state.name(), why = e.to_string().as_str(); "rollout step not recorded");
+                warn!(service = &**service, state = record.state.name(), why = e.to_string().as_str(); "roll-out step not recorded");
                 sleep(RETRY_DELAY).await;
             }
         }
