--- a/src/logging.rs
+++ b/src/logging.rs
@@ -28,7 +28,7 @@
 static START_TIME: OnceLock<Instant> = OnceLock::new();
 
 /// Installs the program's logger and starts its writer thread. The level is `info` unless `RUST_LOG` sets
-/// another. `vm` is written in each line.
+/// another. `vm` goes into the line of each record.
 pub fn init(vm: &str) {
     START_TIME.get_or_init(time::now);
     let (lines, queue) = sync_channel(QUEUE_CAPACITY);
