--- a/src/message.rs
+++ b/src/message.rs
@@ -129,8 +129,8 @@
 
 /// Reads a message; unknown trailing parts of a newer version are left out.
 pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, Unreadable> {
-    let (version, rest) = bytes.split_first().ok_or(Unreadable::Version(0))?;
-    match postcard::take_from_bytes::<T>(rest) {
+    let (version, payload) = bytes.split_first().ok_or(Unreadable::Version(0))?;
+    match postcard::take_from_bytes::<T>(payload) {
         Ok((message, trailing)) if trailing.is_empty() || *version > VERSION => Ok(message),
         _ if *version > VERSION || *version == 0 => Err(Unreadable::Version(*version)),
         _ => Err(Unreadable::Broken),
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -18,14 +18,14 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-const CONNECT_LIMIT: Duration = Duration::from_millis(1_000);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Largest request or answer, in bytes.
-const MOST_BYTES: usize = 64 << 20;
+const MAX_STREAM_MESSAGE_BYTES: usize = 64 << 20;
 /// Largest message that is told unasked, in bytes: one with the loads of some 20,000 servers.
 const MAX_MESSAGE_BYTES: usize = 512 << 10;
 /// Such messages that one peer may have on their way, each on its stream: one heartbeat follows the other.
 const MAX_CONCURRENT_MESSAGES: u32 = 4;
-const LENGTH_BYTES: usize = 4;
+const LENGTH_PREFIX_BYTES: usize = 4;
 
 /// How connections to peers are kept.
 #[derive(Debug, Clone, Copy)]
@@ -58,7 +58,7 @@
     /// A message came that was told unasked.
     fn on_message(&self, bytes: &[u8]);
     /// A stream was opened; `first` is its first message.
-    fn stream(&self, first: Vec<u8>, held: PeerStream) -> BoxFuture<'_, ()>;
+    fn stream(&self, first_message: Vec<u8>, peer_stream: PeerStream) -> BoxFuture<'_, ()>;
 }
 
 /// A peer that gave no answer.
@@ -68,11 +68,11 @@
 /// All links of one daemon.
 pub struct Peers {
     endpoint: Endpoint,
-    links: Mutex<HashMap<SocketAddr, Connection>>,
+    connections: Mutex<HashMap<SocketAddr, Connection>>,
     /// Peers that were last not reached, or fell silent, on the way between the two usual ports. Such a
     /// way may be silent for good, and only a new one works.
-    silent: Mutex<HashSet<SocketAddr>>,
-    cut: Mutex<HashSet<SocketAddr>>,
+    unresponsive: Mutex<HashSet<SocketAddr>>,
+    partitioned: Mutex<HashSet<SocketAddr>>,
     /// For connections from other ports than the one that is listened on.
     client: ClientConfig,
     traffic: Traffic,
@@ -101,9 +101,9 @@
         endpoint.set_default_client_config(client.clone());
         Ok(Peers {
             endpoint,
-            links: Mutex::default(),
-            silent: Mutex::default(),
-            cut: Mutex::default(),
+            connections: Mutex::default(),
+            unresponsive: Mutex::default(),
+            partitioned: Mutex::default(),
             client,
             traffic,
         })
@@ -122,9 +122,9 @@
             let peers = self.clone();
             let handler = handler.clone();
             tokio::spawn(async move {
-                if let Ok(link) = incoming.await {
-                    peers.keep(link.clone());
-                    peers.read(link, handler).await;
+                if let Ok(connection) = incoming.await {
+                    peers.add_connection(connection.clone());
+                    peers.read(connection, handler).await;
                 }
             });
         }
@@ -138,19 +138,19 @@
         message: &impl Serialize,
         handler: &Arc<dyn Handler>,
     ) {
-        let Some(link) = self.link(to, handler).await else {
+        let Some(connection) = self.connection(to, handler).await else {
             return;
         };
         let bytes = message::encode(message);
         self.traffic.count("out", bytes.len());
-        let fits = link.max_datagram_size().is_some_and(|most| bytes.len() <= most);
-        let told = match fits {
-            true => link.send_datagram(bytes.into()).map_err(|e| e.to_string()),
-            false => timeout(CONNECT_LIMIT, send_on_stream(&link, &bytes))
+        let fits = connection.max_datagram_size().is_some_and(|max| bytes.len() <= max);
+        let sent = match fits {
+            true => connection.send_datagram(bytes.into()).map_err(|e| e.to_string()),
+            false => timeout(CONNECT_TIMEOUT, send_on_stream(&connection, &bytes))
                 .await
                 .unwrap_or_else(|_| Err("no stream in time".into())),
         };
-        if let Err(why) = told {
+        if let Err(why) = sent {
             debug!(peer = to.to_string().as_str(), why = why.as_str(); "message not sent");
         }
     }
@@ -164,9 +164,9 @@
         handler: &Arc<dyn Handler>,
     ) -> Result<A, NoAnswer> {
         let exchange = async {
-            let link = self.link(to, handler).await.ok_or(NoAnswer)?;
-            let mut held = self.open(&link, request).await?;
-            held.receive().await
+            let connection = self.connection(to, handler).await.ok_or(NoAnswer)?;
+            let mut peer_stream = self.open(&connection, request).await?;
+            peer_stream.receive().await
         };
         timeout(limit, exchange).await.unwrap_or(Err(NoAnswer))
     }
@@ -177,27 +177,28 @@
         self: &Arc<Self>,
         to: SocketAddr,
         request: &impl Serialize,
-        (first, pause): (Duration, Duration),
+        (start_timeout, stall_timeout): (Duration, Duration),
         handler: &Arc<dyn Handler>,
         progress: impl Fn(),
     ) -> Result<A, NoAnswer> {
         let begin = async {
-            let link = self.link(to, handler).await.ok_or(NoAnswer)?;
-            let mut held = self.open(&link, request).await?;
-            let length = held.receive_length().await?;
-            Ok((held, length))
+            let connection = self.connection(to, handler).await.ok_or(NoAnswer)?;
+            let mut peer_stream = self.open(&connection, request).await?;
+            let length = peer_stream.receive_length().await?;
+            Ok((peer_stream, length))
         };
-        let (mut held, length) = timeout(first, begin).await.unwrap_or(Err(NoAnswer))?;
+        let (mut peer_stream, length) =
+            timeout(start_timeout, begin).await.unwrap_or(Err(NoAnswer))?;
         let mut bytes = vec![0; length];
-        let mut read = 0;
-        while read < length {
-            let part = timeout(pause, held.recv.read(&mut bytes[read..])).await;
-            let part = part.map_err(drop_reason)?.map_err(drop_reason)?;
-            read += part.ok_or(NoAnswer)?;
+        let mut received = 0;
+        while received < length {
+            let chunk = timeout(stall_timeout, peer_stream.recv.read(&mut bytes[received..])).await;
+            let chunk = chunk.map_err(discard_reason)?.map_err(discard_reason)?;
+            received += chunk.ok_or(NoAnswer)?;
             progress();
         }
-        held.traffic.count("in", length + LENGTH_BYTES);
-        message::decode(&bytes).map_err(drop_reason)
+        peer_stream.traffic.count("in", length + LENGTH_PREFIX_BYTES);
+        message::decode(&bytes).map_err(discard_reason)
     }
 
     /// Sends a request whose stream stays open.
@@ -207,39 +208,39 @@
         request: &impl Serialize,
         handler: &Arc<dyn Handler>,
     ) -> Result<PeerStream, NoAnswer> {
-        let link = self.link(to, handler).await.ok_or(NoAnswer)?;
-        timeout(CONNECT_LIMIT, self.open(&link, request)).await.unwrap_or(Err(NoAnswer))
+        let connection = self.connection(to, handler).await.ok_or(NoAnswer)?;
+        timeout(CONNECT_TIMEOUT, self.open(&connection, request)).await.unwrap_or(Err(NoAnswer))
     }
 
     async fn open(
         &self,
-        link: &Connection,
+        connection: &Connection,
         request: &impl Serialize,
     ) -> Result<PeerStream, NoAnswer> {
-        let (send, recv) = link.open_bi().await.map_err(drop_reason)?;
-        let mut held = PeerStream { send, recv, traffic: self.traffic.clone() };
-        held.send(request).await?;
-        Ok(held)
+        let (send, recv) = connection.open_bi().await.map_err(discard_reason)?;
+        let mut peer_stream = PeerStream { send, recv, traffic: self.traffic.clone() };
+        peer_stream.send(request).await?;
+        Ok(peer_stream)
     }
 
     /// Cuts (or heals) the link to a peer, to bring about a partition.
     pub fn cut(&self, addr: SocketAddr, cut: bool) {
-        let mut set = self.cut.lock().expect("cut");
+        let mut partitioned = self.partitioned.lock().expect("partitioned");
         if cut {
-            set.insert(addr);
-            if let Some(link) = self.links.lock().expect("links").remove(&addr) {
-                link.close(VarInt::from_u32(0), b"cut");
+            partitioned.insert(addr);
+            if let Some(connection) = self.connections.lock().expect("connections").remove(&addr) {
+                connection.close(VarInt::from_u32(0), b"cut");
             }
         } else {
-            set.remove(&addr);
+            partitioned.remove(&addr);
         }
     }
 
     fn is_cut(&self, addr: SocketAddr) -> bool {
-        self.cut.lock().expect("cut").contains(&addr)
+        self.partitioned.lock().expect("partitioned").contains(&addr)
     }
 
-    async fn link(
+    async fn connection(
         self: &Arc<Self>,
         to: SocketAddr,
         handler: &Arc<dyn Handler>,
@@ -247,35 +248,36 @@
         if self.is_cut(to) {
             return None;
         }
-        let known = self.links.lock().expect("links").get(&to).cloned();
-        match known.as_ref().map(Connection::close_reason) {
-            Some(None) => return known,
+        let existing = self.connections.lock().expect("connections").get(&to).cloned();
+        match existing.as_ref().map(Connection::close_reason) {
+            Some(None) => return existing,
             Some(Some(ConnectionError::TimedOut)) => {
-                self.links.lock().expect("links").remove(&to);
-                self.silent.lock().expect("silent").insert(to);
+                self.connections.lock().expect("connections").remove(&to);
+                self.unresponsive.lock().expect("unresponsive").insert(to);
             }
             _ => {}
         }
-        let link = self.connect(to).await?;
-        self.keep(link.clone());
-        tokio::spawn(self.clone().read_owned(link.clone(), handler.clone()));
-        Some(link)
+        let connection = self.connect(to).await?;
+        self.add_connection(connection.clone());
+        tokio::spawn(self.clone().read_owned(connection.clone(), handler.clone()));
+        Some(connection)
     }
 
     /// Connects from the usual port, or from a new one where that way was silent the last time.
     async fn connect(&self, to: SocketAddr) -> Option<Connection> {
-        let was_silent = self.silent.lock().expect("silent").remove(&to);
-        let endpoint = if was_silent { self.on_new_port()? } else { self.endpoint.clone() };
+        let was_unresponsive = self.unresponsive.lock().expect("unresponsive").remove(&to);
+        let endpoint =
+            if was_unresponsive { self.endpoint_on_new_port()? } else { self.endpoint.clone() };
         let connecting = endpoint.connect(to, NAME).ok()?;
-        let link = timeout(CONNECT_LIMIT, connecting).await.ok().and_then(Result::ok);
-        if link.is_none() && !was_silent {
-            self.silent.lock().expect("silent").insert(to);
+        let connection = timeout(CONNECT_TIMEOUT, connecting).await.ok().and_then(Result::ok);
+        if connection.is_none() && !was_unresponsive {
+            self.unresponsive.lock().expect("unresponsive").insert(to);
         }
-        link
+        connection
     }
 
     /// An endpoint that lasts as long as its connections.
-    fn on_new_port(&self) -> Option<Endpoint> {
+    fn endpoint_on_new_port(&self) -> Option<Endpoint> {
         let ip = self.endpoint.local_addr().ok()?.ip();
         let bound = Endpoint::client(SocketAddr::new(ip, 0));
         let mut endpoint = bound
@@ -285,26 +287,26 @@
         Some(endpoint)
     }
 
-    fn keep(&self, link: Connection) {
-        let mut links = self.links.lock().expect("links");
-        links.retain(|_, l| l.close_reason().is_none());
-        links.insert(link.remote_address(), link);
+    fn add_connection(&self, connection: Connection) {
+        let mut connections = self.connections.lock().expect("connections");
+        connections.retain(|_, c| c.close_reason().is_none());
+        connections.insert(connection.remote_address(), connection);
     }
 
-    async fn read_owned(self: Arc<Self>, link: Connection, handler: Arc<dyn Handler>) {
-        self.read(link, handler).await;
+    async fn read_owned(self: Arc<Self>, connection: Connection, handler: Arc<dyn Handler>) {
+        self.read(connection, handler).await;
     }
 
     /// Reads one connection until it closes.
-    async fn read(self: &Arc<Self>, link: Connection, handler: Arc<dyn Handler>) {
-        let from = link.remote_address();
+    async fn read(self: &Arc<Self>, connection: Connection, handler: Arc<dyn Handler>) {
+        let from = connection.remote_address();
         loop {
             tokio::select! {
-                datagram = link.read_datagram() => {
+                datagram = connection.read_datagram() => {
                     let Ok(bytes) = datagram else { return };
                     self.receive(from, &bytes, &*handler);
                 }
-                stream = link.accept_uni() => {
+                stream = connection.accept_uni() => {
                     let Ok(mut recv) = stream else { return };
                     let (peers, handler) = (self.clone(), handler.clone());
                     tokio::spawn(async move {
@@ -314,7 +316,7 @@
                         }
                     });
                 }
-                stream = link.accept_bi() => {
+                stream = connection.accept_bi() => {
                     let Ok((send, recv)) = stream else { return };
                     if !self.is_cut(from) {
                         tokio::spawn(self.clone().answer(send, recv, handler.clone()));
@@ -338,16 +340,16 @@
         recv: RecvStream,
         handler: Arc<dyn Handler>,
     ) {
-        let mut held = PeerStream { send, recv, traffic: self.traffic.clone() };
-        if let Ok(first) = held.receive_bytes().await {
-            handler.stream(first, held).await;
+        let mut peer_stream = PeerStream { send, recv, traffic: self.traffic.clone() };
+        if let Ok(first_message) = peer_stream.receive_bytes().await {
+            handler.stream(first_message, peer_stream).await;
         }
     }
 }
 
 /// Sends a message on a stream of its own.
-async fn send_on_stream(link: &Connection, bytes: &[u8]) -> Result<(), String> {
-    let mut stream = link.open_uni().await.map_err(|e| e.to_string())?;
+async fn send_on_stream(connection: &Connection, bytes: &[u8]) -> Result<(), String> {
+    let mut stream = connection.open_uni().await.map_err(|e| e.to_string())?;
     stream.write_all(bytes).await.map_err(|e| e.to_string())?;
     stream.finish().map_err(|e| e.to_string())
 }
@@ -366,38 +368,38 @@
         let mut bytes = (body.len() as u32).to_le_bytes().to_vec();
         bytes.extend(body);
         self.traffic.count("out", bytes.len());
-        self.send.write_all(&bytes).await.map_err(drop_reason)
+        self.send.write_all(&bytes).await.map_err(discard_reason)
     }
 
     /// Receives a message. Not to be given up halfway, except to end the stream.
     pub async fn receive<T: DeserializeOwned>(&mut self) -> Result<T, NoAnswer> {
         let bytes = self.receive_bytes().await?;
-        message::decode(&bytes).map_err(drop_reason)
+        message::decode(&bytes).map_err(discard_reason)
     }
 
     async fn receive_length(&mut self) -> Result<usize, NoAnswer> {
-        let mut length = [0; LENGTH_BYTES];
-        self.recv.read_exact(&mut length).await.map_err(drop_reason)?;
+        let mut length = [0; LENGTH_PREFIX_BYTES];
+        self.recv.read_exact(&mut length).await.map_err(discard_reason)?;
         let length = u32::from_le_bytes(length) as usize;
-        if length <= MOST_BYTES { Ok(length) } else { Err(NoAnswer) }
+        if length <= MAX_STREAM_MESSAGE_BYTES { Ok(length) } else { Err(NoAnswer) }
     }
 
     async fn receive_bytes(&mut self) -> Result<Vec<u8>, NoAnswer> {
         let length = self.receive_length().await?;
         let mut bytes = vec![0; length];
-        self.recv.read_exact(&mut bytes).await.map_err(drop_reason)?;
-        self.traffic.count("in", length + LENGTH_BYTES);
+        self.recv.read_exact(&mut bytes).await.map_err(discard_reason)?;
+        self.traffic.count("in", length + LENGTH_PREFIX_BYTES);
         Ok(bytes)
     }
 
     /// Says that nothing more comes and waits until the peer has it all.
     pub async fn finish(&mut self) {
         if self.send.finish().is_ok() {
-            let _ = timeout(CONNECT_LIMIT, self.send.stopped()).await;
+            let _ = timeout(CONNECT_TIMEOUT, self.send.stopped()).await;
         }
     }
 }
 
-fn drop_reason<E>(_: E) -> NoAnswer {
+fn discard_reason<E>(_: E) -> NoAnswer {
     NoAnswer
 }
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -170,11 +170,11 @@
 impl CallCounts {
     /// The counts by name.
     pub fn by_kind(&self) -> BTreeMap<&'static str, u64> {
-        let read = |n: &AtomicU64| n.load(Ordering::Relaxed);
+        let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         BTreeMap::from([
-            ("read", read(&self.reads)),
-            ("watch", read(&self.watches)),
-            ("write", read(&self.writes)),
+            ("read", load(&self.reads)),
+            ("watch", load(&self.watches)),
+            ("write", load(&self.writes)),
         ])
     }
 }
@@ -191,18 +191,18 @@
     }
 }
 
-fn count(n: &AtomicU64) {
-    n.fetch_add(1, Ordering::Relaxed);
+fn increment(counter: &AtomicU64) {
+    counter.fetch_add(1, Ordering::Relaxed);
 }
 
 impl Platform for Counted {
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, PlatformResult<Option<Entry>>> {
-        count(&self.calls.reads);
+        increment(&self.calls.reads);
         self.inner.get(key)
     }
 
     fn range<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, PlatformResult<Range>> {
-        count(&self.calls.reads);
+        increment(&self.calls.reads);
         self.inner.range(prefix)
     }
 
@@ -213,17 +213,17 @@
         value: Option<Vec<u8>>,
         lease: Option<LeaseId>,
     ) -> BoxFuture<'a, PlatformResult<Swap>> {
-        count(&self.calls.writes);
+        increment(&self.calls.writes);
         self.inner.swap(key, expect, value, lease)
     }
 
     fn grant(&self, ttl_ms: u64) -> BoxFuture<'_, PlatformResult<LeaseId>> {
-        count(&self.calls.writes);
+        increment(&self.calls.writes);
         self.inner.grant(ttl_ms)
     }
 
     fn renew(&self, lease: LeaseId) -> BoxFuture<'_, PlatformResult<bool>> {
-        count(&self.calls.writes);
+        increment(&self.calls.writes);
         self.inner.renew(lease)
     }
 
@@ -232,7 +232,7 @@
         prefix: &'a str,
         after: u64,
     ) -> BoxFuture<'a, PlatformResult<mpsc::Receiver<Vec<Change>>>> {
-        count(&self.calls.watches);
+        increment(&self.calls.watches);
         self.inner.watch(prefix, after)
     }
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -16,7 +16,7 @@
 
 /// Longest sleep at a time. A timer stands still with the VM, so that a wait ends at most so much late after
 /// a suspension; a shorter one wakes each waiting request more often than four times a second.
-const LONGEST_SLEEP: Duration = Duration::from_millis(250);
+const MAX_SLEEP: Duration = Duration::from_millis(250);
 
 /// A moment on both clocks.
 struct Origin {
@@ -28,13 +28,13 @@
 static ORIGIN: OnceLock<Origin> = OnceLock::new();
 
 /// Milliseconds of suspensions that tests made up.
-static PRETENDED_MS: AtomicU64 = AtomicU64::new(0);
+static SIMULATED_SUSPENSION_MS: AtomicU64 = AtomicU64::new(0);
 
 /// The present moment; it never goes back.
 pub fn now() -> Instant {
     let origin = ORIGIN.get_or_init(|| Origin { moment: Instant::now(), boot: since_boot() });
-    let pretended = Duration::from_millis(PRETENDED_MS.load(Ordering::Relaxed));
-    origin.moment + since_boot().saturating_sub(origin.boot) + pretended
+    let simulated = Duration::from_millis(SIMULATED_SUSPENSION_MS.load(Ordering::Relaxed));
+    origin.moment + since_boot().saturating_sub(origin.boot) + simulated
 }
 
 /// Time since the VM's start, suspensions included.
@@ -52,11 +52,11 @@
 /// Waits until a moment.
 pub async fn sleep_until(until: Instant) {
     loop {
-        let left = until.saturating_duration_since(now());
-        if left.is_zero() {
+        let remaining = until.saturating_duration_since(now());
+        if remaining.is_zero() {
             return;
         }
-        tokio::time::sleep(left.min(LONGEST_SLEEP)).await;
+        tokio::time::sleep(remaining.min(MAX_SLEEP)).await;
     }
 }
 
@@ -78,5 +78,5 @@
 #[doc(hidden)]
 pub fn pretend_suspended(time: Duration) {
     let ms = u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
-    PRETENDED_MS.fetch_add(ms, Ordering::Relaxed);
+    SIMULATED_SUSPENSION_MS.fetch_add(ms, Ordering::Relaxed);
 }
--- a/src/tls.rs
+++ b/src/tls.rs
@@ -18,7 +18,7 @@
 
 /// The name in every daemon's certificate; the authority, not the name, is what counts.
 pub const NAME: &str = "tidestair";
-const PROTOCOL: &[u8] = b"tidestair/1";
+const ALPN_PROTOCOL: &[u8] = b"tidestair/1";
 
 /// A daemon's certificate and the authority that it trusts.
 pub struct Identity {
@@ -37,20 +37,20 @@
 impl Authority {
     /// A new authority.
     pub fn generate() -> Result<Authority> {
-        let mut params = CertificateParams::new(Vec::new()).map_err(broken)?;
+        let mut params = CertificateParams::new(Vec::new()).map_err(tls_error)?;
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
-        let key = KeyPair::generate().map_err(broken)?;
-        let cert = params.self_signed(&key).map_err(broken)?;
+        let key = KeyPair::generate().map_err(tls_error)?;
+        let cert = params.self_signed(&key).map_err(tls_error)?;
         Ok(Authority { cert: cert.der().clone(), issuer: Issuer::new(params, key) })
     }
 
     /// A certificate for one daemon.
     pub fn sign(&self) -> Result<Identity> {
-        let mut params = CertificateParams::new(vec![NAME.to_string()]).map_err(broken)?;
+        let mut params = CertificateParams::new(vec![NAME.to_string()]).map_err(tls_error)?;
         params.extended_key_usages =
             vec![ExtendedKeyUsagePurpose::ServerAuth, ExtendedKeyUsagePurpose::ClientAuth];
-        let key = KeyPair::generate().map_err(broken)?;
-        let cert = params.signed_by(&key, &self.issuer).map_err(broken)?;
+        let key = KeyPair::generate().map_err(tls_error)?;
+        let cert = params.signed_by(&key, &self.issuer).map_err(tls_error)?;
         let der = PrivatePkcs8KeyDer::from(key.serialize_der());
         Ok(Identity {
             ca: Some(self.cert.clone()),
@@ -63,9 +63,9 @@
 impl Identity {
     /// Reads the PEM files named in the settings.
     pub fn load(files: &PeerTls) -> Result<Identity> {
-        let ca = CertificateDer::from_pem_file(&files.ca).map_err(broken)?;
-        let cert = CertificateDer::from_pem_file(&files.cert).map_err(broken)?;
-        let key = PrivateKeyDer::from_pem_file(&files.key).map_err(broken)?;
+        let ca = CertificateDer::from_pem_file(&files.ca).map_err(tls_error)?;
+        let cert = CertificateDer::from_pem_file(&files.cert).map_err(tls_error)?;
+        let key = PrivateKeyDer::from_pem_file(&files.key).map_err(tls_error)?;
         Ok(Identity { ca: Some(ca), cert, key })
     }
 
@@ -96,20 +96,20 @@
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let builder = rustls::ServerConfig::builder_with_provider(provider.clone())
             .with_protocol_versions(&[&rustls::version::TLS13])
-            .map_err(broken)?;
+            .map_err(tls_error)?;
         let builder = match &self.ca {
             Some(ca) => {
-                let roots = Arc::new(roots(ca)?);
+                let roots = Arc::new(root_store(ca)?);
                 let verifier = WebPkiClientVerifier::builder_with_provider(roots, provider);
-                builder.with_client_cert_verifier(verifier.build().map_err(broken)?)
+                builder.with_client_cert_verifier(verifier.build().map_err(tls_error)?)
             }
             None => builder.with_no_client_auth(),
         };
         let mut tls = builder
             .with_single_cert(vec![self.cert.clone()], self.key.clone_key())
-            .map_err(broken)?;
-        tls.alpn_protocols = vec![PROTOCOL.to_vec()];
-        Ok(Arc::new(QuicServerConfig::try_from(tls).map_err(broken)?))
+            .map_err(tls_error)?;
+        tls.alpn_protocols = vec![ALPN_PROTOCOL.to_vec()];
+        Ok(Arc::new(QuicServerConfig::try_from(tls).map_err(tls_error)?))
     }
 
     /// What the connecting side needs.
@@ -117,33 +117,33 @@
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let builder = rustls::ClientConfig::builder_with_provider(provider.clone())
             .with_protocol_versions(&[&rustls::version::TLS13])
-            .map_err(broken)?;
+            .map_err(tls_error)?;
         let mut tls = match &self.ca {
             Some(ca) => builder
-                .with_root_certificates(roots(ca)?)
+                .with_root_certificates(root_store(ca)?)
                 .with_client_auth_cert(vec![self.cert.clone()], self.key.clone_key())
-                .map_err(broken)?,
+                .map_err(tls_error)?,
             None => builder
                 .dangerous()
-                .with_custom_certificate_verifier(Arc::new(AnyPeer(provider)))
+                .with_custom_certificate_verifier(Arc::new(AcceptAnyPeer(provider)))
                 .with_no_client_auth(),
         };
-        tls.alpn_protocols = vec![PROTOCOL.to_vec()];
-        Ok(Arc::new(QuicClientConfig::try_from(tls).map_err(broken)?))
+        tls.alpn_protocols = vec![ALPN_PROTOCOL.to_vec()];
+        Ok(Arc::new(QuicClientConfig::try_from(tls).map_err(tls_error)?))
     }
 }
 
-fn roots(ca: &CertificateDer<'static>) -> Result<RootCertStore> {
+fn root_store(ca: &CertificateDer<'static>) -> Result<RootCertStore> {
     let mut roots = RootCertStore::empty();
-    roots.add(ca.clone()).map_err(broken)?;
+    roots.add(ca.clone()).map_err(tls_error)?;
     Ok(roots)
 }
 
 /// Takes any peer's certificate; see [`Identity::unauthenticated`].
 #[derive(Debug)]
-struct AnyPeer(Arc<CryptoProvider>);
+struct AcceptAnyPeer(Arc<CryptoProvider>);
 
-impl ServerCertVerifier for AnyPeer {
+impl ServerCertVerifier for AcceptAnyPeer {
     fn verify_server_cert(
         &self,
         _: &CertificateDer<'_>,
@@ -161,8 +161,8 @@
         cert: &CertificateDer<'_>,
         signed: &DigitallySignedStruct,
     ) -> std::result::Result<HandshakeSignatureValid, rustls::Error> {
-        let known = &self.0.signature_verification_algorithms;
-        verify_tls12_signature(message, cert, signed, known)
+        let algorithms = &self.0.signature_verification_algorithms;
+        verify_tls12_signature(message, cert, signed, algorithms)
     }
 
     fn verify_tls13_signature(
@@ -171,8 +171,8 @@
         cert: &CertificateDer<'_>,
         signed: &DigitallySignedStruct,
     ) -> std::result::Result<HandshakeSignatureValid, rustls::Error> {
-        let known = &self.0.signature_verification_algorithms;
-        verify_tls13_signature(message, cert, signed, known)
+        let algorithms = &self.0.signature_verification_algorithms;
+        verify_tls13_signature(message, cert, signed, algorithms)
     }
 
     fn supported_verify_schemes(&self) -> Vec<SignatureScheme> {
@@ -182,13 +182,15 @@
 
 /// DER bytes as PEM text.
 fn pem(label: &str, der: &[u8]) -> String {
-    const LINE: usize = 64;
+    const LINE_LENGTH: usize = 64;
     let text = STANDARD.encode(der);
-    let lines: Vec<&str> =
-        (0..text.len()).step_by(LINE).map(|i| &text[i..text.len().min(i + LINE)]).collect();
+    let lines: Vec<&str> = (0..text.len())
+        .step_by(LINE_LENGTH)
+        .map(|i| &text[i..text.len().min(i + LINE_LENGTH)])
+        .collect();
     format!("-----BEGIN {label}-----\n{}\n-----END {label}-----\n", lines.join("\n"))
 }
 
-fn broken(e: impl std::fmt::Display) -> Error {
+fn tls_error(e: impl std::fmt::Display) -> Error {
     Error::Tls { reason: e.to_string() }
 }
