--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,7 +1,7 @@
-//! The platform's key-value service as the system sees it.
+//! Interface to the platform's key-value service.
 //!
-//! Everything that must last or be agreed goes through this trait: single-key
-//! compare-and-swap, leases and watches, nothing more.
+//! All state that must be durable or agreed between daemons goes through the [`Platform`] trait. It offers
+//! only reads, single-key compare-and-swap, leases and watches.
 
 use futures_util::future::BoxFuture;
 use serde::{Deserialize, Serialize};
@@ -11,16 +11,16 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::sync::mpsc;
 
-/// Prefix of all keys of the system.
+/// Prefix of all keys that tidestair stores.
 pub const ROOT: &str = "/tidestair/";
 
-/// A call of the platform's service that did not answer well.
+/// Failure of a call to the platform's key-value service.
 #[derive(Debug, Clone, Snafu)]
 #[snafu(visibility(pub))]
 pub enum PlatformError {
-    /// The call took no effect.
+    /// The call had no effect.
     #[snafu(display(
-        "the platform's service is unavailable ({reason}); it is tried again, check its health"
+        "the platform's key-value service is unavailable ({reason}); the call is retried, check the service's health"
     ))]
     Unavailable {
         /// What was seen.
@@ -28,7 +28,7 @@
     },
     /// The call may have taken effect.
     #[snafu(display(
-        "the platform's service gave no answer ({reason}); the effect is settled by reading"
+        "the platform's key-value service did not answer ({reason}); a read will show whether the call took effect"
     ))]
     NoAnswer {
         /// What was seen.
@@ -36,101 +36,104 @@
     },
 }
 
-/// Result of a call of the platform's service.
+/// Result of a call to the platform's key-value service.
 pub type PlatformResult<T> = Result<T, PlatformError>;
 
-/// A place in the order of a service's changes, where the service may come back from an older copy of itself. It then
-/// has lost what it acknowledged since the copy was made, and gives the same revisions out again.
+/// Position in the change history of a service that may be restored from a backup. A restore loses the
+/// changes acknowledged since the backup was made, and the service then assigns the same revisions a second
+/// time. The era tells them apart.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Position {
-    /// How often the service had come back from a copy; zero where it never says.
+    /// Number of times the service had been restored from a backup; zero if it does not report this.
     pub era: u64,
-    /// The service's revision in that era.
+    /// The service's revision within the era.
     pub revision: u64,
 }
 
 impl Position {
-    /// Before the first change.
+    /// The position before the first change.
     pub const START: Position = Position { era: 0, revision: 0 };
 
-    /// A revision of an era.
+    /// Creates a position from an era and a revision in it.
     pub fn new(era: u64, revision: u64) -> Position {
         Position { era, revision }
     }
 
-    /// Whether it is before the first change.
+    /// Returns whether this is the position before the first change.
     pub fn is_start(self) -> bool {
         self == Position::START
     }
 
-    /// The least one after it.
+    /// Returns the position directly after this one, in the same era.
     pub fn next(self) -> Position {
         Position { revision: self.revision + 1, ..self }
     }
 }
 
-/// A value and the revision that wrote it. Where the service may go back, revisions are of type [`Position`].
+/// A key, its value and the revision that wrote it. `R` is [`Position`] for a service that may be restored
+/// from a backup.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry<R = u64> {
     /// The key.
     pub key: String,
-    /// The value, at most a megabyte.
+    /// The value, at most one megabyte.
     pub value: Vec<u8>,
-    /// The service's revision at the last write of this key.
+    /// Revision of the last write to this key.
     pub revision: R,
 }
 
-/// Entries below a prefix, all read at one revision.
+/// Entries under a prefix, all read at the same revision.
 #[derive(Debug, Clone)]
 pub struct Range<R = u64> {
-    /// In the order of their keys.
+    /// The entries, sorted by key.
     pub entries: Vec<Entry<R>>,
-    /// The service's revision at the read.
+    /// Revision at which the entries were read.
     pub revision: R,
 }
 
-/// What a compare-and-swap expects to find.
+/// Precondition of a compare-and-swap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Expect {
-    /// No value.
+    /// The key has no value.
     Absent,
-    /// The value written at this revision.
+    /// The last write to the key has this revision.
     Revision(u64),
 }
 
-/// Which way a compare-and-swap went.
+/// Outcome of a compare-and-swap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Swap<R = u64> {
-    /// Done, at this revision.
+    /// The write was applied, at this revision.
     Won(R),
-    /// Something else was found; nothing was written.
+    /// The precondition did not hold; nothing was written.
     Lost,
 }
 
-/// A change seen by a watch.
+/// A change reported by a watch.
 #[derive(Debug, Clone)]
 pub struct Change<R = u64> {
     /// The key.
     pub key: String,
-    /// The new value; `None` where it was deleted.
+    /// The new value; `None` if the key was deleted.
     pub value: Option<Vec<u8>>,
-    /// The service's revision of the change.
+    /// Revision of the change.
     pub revision: R,
 }
 
-/// The id of a lease.
+/// Identifier of a lease. The service deletes a key attached to a lease when the lease expires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseId(pub u64);
 
-/// The platform's key-value service.
+/// Client of the platform's key-value service.
 pub trait Platform: Send + Sync {
     /// Reads one key.
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, PlatformResult<Option<Entry>>>;
     /// Reads all keys that start with `prefix`.
     fn range<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, PlatformResult<Range>>;
-    /// Writes (or with `None` deletes) a key if it is as expected.
+    /// Writes a key, or deletes it if `value` is `None`, provided that `expect` holds. If a lease is given,
+    /// the key is attached to it.
     fn swap<'a>(
         &'a self,
         key: &'a str,
@@ -138,11 +141,12 @@
         value: Option<Vec<u8>>,
         lease: Option<LeaseId>,
     ) -> BoxFuture<'a, PlatformResult<Swap>>;
-    /// Opens a lease of `ttl_ms` milliseconds (whole seconds at the service).
+    /// Creates a lease of `ttl_ms` milliseconds. The service itself counts in whole seconds.
     fn grant(&self, ttl_ms: u64) -> BoxFuture<'_, PlatformResult<LeaseId>>;
-    /// Renews a lease; `false` where it has lapsed.
+    /// Renews a lease. Returns `false` if it has expired.
     fn renew(&self, lease: LeaseId) -> BoxFuture<'_, PlatformResult<bool>>;
-    /// Changes below `prefix` after revision `after`; the channel closes when the watch breaks.
+    /// Watches for changes under `prefix` after revision `after`. The channel closes when the watch is
+    /// interrupted.
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
@@ -150,25 +154,25 @@
     ) -> BoxFuture<'a, PlatformResult<mpsc::Receiver<Vec<Change>>>>;
 }
 
-/// Counts calls by kind before handing them on.
+/// A [`Platform`] that counts calls by kind and forwards them to another one.
 pub struct Counted {
     inner: Arc<dyn Platform>,
     calls: CallCounts,
 }
 
-/// Calls made so far, by kind.
+/// Number of calls made so far, by kind.
 #[derive(Debug, Default)]
 pub struct CallCounts {
-    /// Reads of one key or a prefix.
+    /// Reads of a key or of a prefix.
     pub reads: AtomicU64,
     /// Compare-and-swaps, lease grants and renewals.
     pub writes: AtomicU64,
-    /// Watches opened.
+    /// Watches started.
     pub watches: AtomicU64,
 }
 
 impl CallCounts {
-    /// The counts by name.
+    /// Returns the counts, keyed by the name of the kind.
     pub fn by_kind(&self) -> BTreeMap<&'static str, u64> {
         let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         BTreeMap::from([
@@ -180,12 +184,12 @@
 }
 
 impl Counted {
-    /// Counts the calls made to `inner`.
+    /// Wraps `inner` and counts the calls made to it.
     pub fn new(inner: Arc<dyn Platform>) -> Counted {
         Counted { inner, calls: CallCounts::default() }
     }
 
-    /// The counts so far.
+    /// Returns the counts so far.
     pub fn calls(&self) -> &CallCounts {
         &self.calls
     }
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,21 +1,22 @@
 //! A monotonic clock that includes the time during which the VM was suspended, and timers on it.
 //!
-//! `Instant::now` stops while the VM is suspended. After a suspension of ten seconds a daemon that relied on it
-//! would treat its data as ten seconds fresher than it is, pass on a deadline that has already expired, and count
-//! requests of one rate-limit window in the next. All modules therefore take the current time from here and never
-//! from the standard library, so that ages, leases, windows and deadlines include suspensions.
+//! `Instant::now` stops while the VM is suspended. After a suspension of ten seconds a daemon that relied on
+//! it would treat its data as ten seconds fresher than it is, pass on a deadline that has already expired,
+//! and count requests of one rate-limit window in the next. All modules therefore take the current time from
+//! here and never from the standard library, so that ages, leases, windows and deadlines include suspensions.
 //!
-//! Times are `std::time::Instant`, so that functions can take the current time as an argument. After a suspension
-//! these values are ahead of the standard clock: compare them only with each other, and wait for them only with the
-//! functions of this module.
+//! Times are `std::time::Instant`, so that functions can take the current time as an argument. After a
+//! suspension these values are ahead of the standard clock: compare them only with each other, and wait for
+//! them only with the functions of this module.
 
 use nix::time::{ClockId, clock_gettime};
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Longest single sleep of a wait. Tokio's timers stop while the VM is suspended, so a wait can end up to this
-/// much late after a suspension. A lower value would wake each waiting request more than four times a second.
+/// Longest single sleep of a wait. Tokio's timers stop while the VM is suspended, so a wait can end up to
+/// this much late after a suspension. A lower value would wake each waiting request more than four times a
+/// second.
 const MAX_SLEEP: Duration = Duration::from_millis(250);
 
 /// The same point in time on the standard clock and on the boot-time clock.
@@ -65,8 +66,8 @@
     sleep_until(now() + time).await;
 }
 
-/// Waits for a future until the given time and returns `None` on timeout. If both are ready at once, the future's
-/// output is returned.
+/// Waits for a future until the given time and returns `None` on timeout. If both are ready at once, the
+/// future's output is returned.
 pub async fn timeout_at<F: Future>(until: Instant, future: F) -> Option<F::Output> {
     tokio::select! {
         biased;
@@ -75,7 +76,8 @@
     }
 }
 
-/// Advances the clock as if the VM had been suspended for `time`. For tests, which cannot suspend their machine.
+/// Advances the clock as if the VM had been suspended for `time`. For tests, which cannot suspend their
+/// machine.
 #[doc(hidden)]
 pub fn pretend_suspended(time: Duration) {
     let ms = u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
