--- a/src/message.rs
+++ b/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between daemons: a version byte, then `postcard`.
+//! Messages between daemons, encoded as a version byte followed by `postcard` data.
 
 use crate::ask::Ask;
 use crate::claim::{ClaimAsk, ClaimKey, Claimed, Nonce, StoredAnswer};
@@ -7,127 +7,129 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Version that this daemon writes and the highest it knows. A newer one may add variants and
-/// trailing fields; what it cannot read it answers with [`Reply::NotUnderstood`].
+/// Protocol version that this daemon writes, and the highest that it supports. A newer version may add
+/// variants and trailing fields. A daemon answers a request that it cannot decode with
+/// [`Reply::NotUnderstood`].
 pub const VERSION: u8 = 1;
 
 /// A heartbeat, sent as a datagram.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender's record first, then others it heard of.
+    /// The sender's own record, followed by those it received about other daemons.
     pub records: Vec<Record>,
 }
 
-/// A request on a stream of its own.
+/// The first message on a new bidirectional stream.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Request {
-    /// The configuration after this revision.
+    /// Asks for the configuration changes after a revision.
     Fetch {
-        /// Revision that the asker has in force.
+        /// Revision that the requesting daemon has applied.
         have: u64,
     },
-    /// A claim on a key, asked of the daemon that writes its shard.
+    /// Claims a key; sent to the daemon that writes the shard of the key.
     Claim(ClaimAsk),
-    /// A place in a pool.
+    /// Asks for a replica of a pool.
     Place(PlaceAsk),
-    /// The outcome of a claim.
+    /// Reports the outcome of a claim.
     Settle {
-        /// The key.
+        /// The claimed key.
         key: ClaimKey,
-        /// Its claim.
+        /// Nonce of the claim.
         nonce: Nonce,
-        /// The answer; `None` gives the claim back.
+        /// The answer to store; `None` releases the claim.
         answer: Option<StoredAnswer>,
     },
 }
 
-/// A place asked for of the daemon that keeps a pool's queue; the stream stays open while it is used.
+/// Request for a replica, sent to the daemon that manages the pool's queue. The stream stays open for as long
+/// as the replica is in use.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PlaceAsk {
     /// Name of the pool.
     pub pool: String,
-    /// What is to be placed.
+    /// The generation to place.
     pub ask: Ask,
-    /// Longest wait in milliseconds.
+    /// Maximum time in the queue, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// What the keeper says on such a stream.
+/// Message from the daemon that manages the queue, on the stream of a [`PlaceAsk`].
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub enum PlaceReply {
-    /// Still in the queue.
+    /// The request is still queued.
     Waiting,
     /// The replica to use.
     Granted(SocketAddr),
-    /// No place.
+    /// The request was rejected for lack of capacity.
     Shed {
-        /// When to come back, in milliseconds.
+        /// Delay before the next attempt, in milliseconds.
         retry_ms: u64,
     },
-    /// Pause, or go on.
+    /// Pauses or resumes the generation.
     Signal(Signal),
 }
 
-/// What the asker says on such a stream.
+/// Message from the requesting daemon, on the stream of a [`PlaceAsk`].
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub enum PlaceUpdate {
-    /// The generation ended properly.
+    /// The generation completed normally.
     Done {
-        /// Its tokens.
+        /// Number of tokens generated.
         tokens: u32,
     },
 }
 
-/// One key of the configuration on its way to a peer.
+/// A configuration key as sent to a peer.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Item {
-    /// Its key.
+    /// The key.
     pub key: String,
-    /// Its value; `None` where it was deleted.
+    /// The value; `None` if the key was deleted.
     pub value: Option<Vec<u8>>,
-    /// Revision of the change.
+    /// Revision of the last change to the key.
     pub revision: u64,
 }
 
-/// An answer.
+/// Answer to a [`Request`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Reply {
-    /// Nothing newer.
+    /// The requesting daemon has the latest configuration.
     UpToDate,
-    /// Changes after the asker's revision, in order.
+    /// Changes after the requested revision, in order.
     Changes(Vec<Item>),
-    /// Everything, at this revision.
+    /// The complete configuration at a revision.
     Snapshot {
-        /// The revision.
+        /// Revision of the snapshot.
         revision: u64,
-        /// All keys.
+        /// All keys with their values.
         items: Vec<Item>,
     },
-    /// The answer to a claim.
+    /// Result of a claim.
     Claimed(Claimed),
-    /// Done.
+    /// The request was carried out.
     Done,
-    /// The request is of a version that this daemon cannot read.
+    /// The request has a version that this daemon cannot decode.
     NotUnderstood,
 }
 
-/// Why bytes are not a message.
+/// Why a message could not be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unreadable {
-    /// No bytes, or of a newer version with parts unknown here.
+    /// The message is empty (reported as version 0), or has version 0 or a newer one and cannot be decoded.
     Version(u8),
-    /// Of a known version, and broken.
+    /// The message has a supported version but is malformed.
     Broken,
 }
 
-/// Writes a message with its version byte.
+/// Encodes a message, preceded by the version byte.
 pub fn encode(message: &impl Serialize) -> Vec<u8> {
     let mut bytes = vec![VERSION];
-    bytes.extend(postcard::to_stdvec(message).expect("a message is plain data"));
+    bytes.extend(postcard::to_stdvec(message).expect("messages are always serializable"));
     bytes
 }
 
-/// Reads a message; unknown trailing parts of a newer version are left out.
+/// Decodes a message. Trailing fields of a newer version are ignored.
 pub fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8]) -> Result<T, Unreadable> {
     let (version, payload) = bytes.split_first().ok_or(Unreadable::Version(0))?;
     match postcard::take_from_bytes::<T>(payload) {
