--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,4 +1,4 @@
-//! Links between daemons over QUIC: one connection for each peer, datagrams and request streams.
+//! QUIC connections between daemons: one per peer, for one-way messages and for streams that carry requests.
 
 use crate::error::{Error, Result};
 use crate::message;
@@ -19,30 +19,31 @@
 use tokio::time::timeout;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Largest request or answer, in bytes.
+/// Maximum size of a message on a bidirectional stream, in bytes.
 const MAX_STREAM_MESSAGE_BYTES: usize = 64 << 20;
-/// Largest message that is told unasked, in bytes: one with the loads of some 20,000 servers.
+/// Maximum size of a one-way message, in bytes. Enough for the loads of about 20,000 servers.
 const MAX_MESSAGE_BYTES: usize = 512 << 10;
-/// Such messages that one peer may have on their way, each on its stream: one heartbeat follows the other.
+/// Maximum number of one-way messages that a peer may have in transit on streams. A few are enough, because
+/// heartbeats are sent one after the other.
 const MAX_CONCURRENT_MESSAGES: u32 = 4;
 const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// How connections to peers are kept.
+/// Limits on the connections to peers.
 #[derive(Debug, Clone, Copy)]
 pub struct LinkLimits {
-    /// Silence after which a connection is given up, in milliseconds.
+    /// Idle timeout of a connection, in milliseconds.
     pub idle_ms: u32,
-    /// Streams open at once from one peer. quinn keeps a slot for each that it allows, on every
-    /// connection, so a generous number costs megabytes a peer.
+    /// Maximum number of concurrent bidirectional streams from one peer. quinn allocates a slot for each
+    /// allowed stream on every connection, so a high limit costs megabytes per peer.
     pub streams: u32,
 }
 
-/// Counters of what goes between daemons, by direction.
+/// Counters of the traffic between daemons, by direction.
 #[derive(Debug, Clone)]
 pub struct Traffic {
-    /// Messages.
+    /// Number of messages.
     pub messages: IntCounterVec,
-    /// Bytes.
+    /// Number of bytes.
     pub bytes: IntCounterVec,
 }
 
@@ -53,33 +54,35 @@
     }
 }
 
-/// What a daemon does with what its peers send.
+/// Handles the messages and streams that arrive from peers.
 pub trait Handler: Send + Sync + 'static {
-    /// A message came that was told unasked.
+    /// Handles a one-way message, which gets no answer.
     fn on_message(&self, bytes: &[u8]);
-    /// A stream was opened; `first` is its first message.
+    /// Handles a stream opened by a peer, whose first message is `first_message`.
     fn stream(&self, first_message: Vec<u8>, peer_stream: PeerStream) -> BoxFuture<'_, ()>;
 }
 
-/// A peer that gave no answer.
+/// A peer did not answer, or its answer could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NoAnswer;
 
-/// All links of one daemon.
+/// A daemon's connections to all its peers.
 pub struct Peers {
     endpoint: Endpoint,
+    /// Connections by the address of the peer, in both directions.
     connections: Mutex<HashMap<SocketAddr, Connection>>,
-    /// Peers that were last not reached, or fell silent, on the way between the two usual ports. Such a
-    /// way may be silent for good, and only a new one works.
+    /// Peers whose last connection from the listening port timed out or could not be established. That pair
+    /// of ports may stay unreachable for good, so the next attempt uses a new local port.
     unresponsive: Mutex<HashSet<SocketAddr>>,
+    /// Peers with which communication is blocked; see [`Peers::cut`].
     partitioned: Mutex<HashSet<SocketAddr>>,
-    /// For connections from other ports than the one that is listened on.
+    /// Configuration of connections from ports other than the listening port.
     client: ClientConfig,
     traffic: Traffic,
 }
 
 impl Peers {
-    /// Listens on `addr`.
+    /// Starts listening on `addr`.
     pub fn bind(
         addr: SocketAddr,
         identity: &Identity,
@@ -109,14 +112,14 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     pub fn addr(&self) -> Result<SocketAddr> {
         self.endpoint
             .local_addr()
             .map_err(|e| Error::Listen { addr: "peer".into(), reason: e.to_string() })
     }
 
-    /// Takes connections from peers until the endpoint closes.
+    /// Accepts connections from peers until the endpoint closes.
     pub async fn serve(self: Arc<Self>, handler: Arc<dyn Handler>) {
         while let Some(incoming) = self.endpoint.accept().await {
             let peers = self.clone();
@@ -130,8 +133,8 @@
         }
     }
 
-    /// Sends a message that may be lost without harm: as a datagram, or on a stream of its own where
-    /// it is too large for one.
+    /// Sends a one-way message without a delivery guarantee: as a datagram, or on a stream of its own if it
+    /// is too large for a datagram.
     pub async fn tell(
         self: &Arc<Self>,
         to: SocketAddr,
@@ -148,14 +151,14 @@
             true => connection.send_datagram(bytes.into()).map_err(|e| e.to_string()),
             false => timeout(CONNECT_TIMEOUT, send_on_stream(&connection, &bytes))
                 .await
-                .unwrap_or_else(|_| Err("no stream in time".into())),
+                .unwrap_or_else(|_| Err("timed out sending on a stream".into())),
         };
         if let Err(why) = sent {
-            debug!(peer = to.to_string().as_str(), why = why.as_str(); "message not sent");
+            debug!(peer = to.to_string().as_str(), why = why.as_str(); "failed to send a message to a peer");
         }
     }
 
-    /// Sends a request and waits for its answer.
+    /// Sends a request and waits up to `limit` for the answer.
     pub async fn ask<A: DeserializeOwned>(
         self: &Arc<Self>,
         to: SocketAddr,
@@ -171,8 +174,9 @@
         timeout(limit, exchange).await.unwrap_or(Err(NoAnswer))
     }
 
-    /// The same for an answer that may be large: it begins within `first` and then never pauses for longer than
-    /// `pause`, however long it takes in all. Each part of it is told to `progress`.
+    /// Like [`Peers::ask`], but for answers that may be large. The answer must start within `start_timeout`
+    /// and must not stall for longer than `stall_timeout`; its total duration is not limited. Calls
+    /// `progress` for each chunk received.
     pub async fn ask_large<A: DeserializeOwned>(
         self: &Arc<Self>,
         to: SocketAddr,
@@ -201,7 +205,7 @@
         message::decode(&bytes).map_err(discard_reason)
     }
 
-    /// Sends a request whose stream stays open.
+    /// Sends a request and returns its stream, which stays open.
     pub async fn hold(
         self: &Arc<Self>,
         to: SocketAddr,
@@ -212,6 +216,7 @@
         timeout(CONNECT_TIMEOUT, self.open(&connection, request)).await.unwrap_or(Err(NoAnswer))
     }
 
+    /// Opens a stream on a connection and sends a request on it.
     async fn open(
         &self,
         connection: &Connection,
@@ -223,7 +228,7 @@
         Ok(peer_stream)
     }
 
-    /// Cuts (or heals) the link to a peer, to bring about a partition.
+    /// Blocks or restores communication with a peer, to simulate a network partition.
     pub fn cut(&self, addr: SocketAddr, cut: bool) {
         let mut partitioned = self.partitioned.lock().expect("partitioned");
         if cut {
@@ -240,6 +245,8 @@
         self.partitioned.lock().expect("partitioned").contains(&addr)
     }
 
+    /// Returns the open connection to a peer, or establishes one. `None` if the peer is blocked or
+    /// unreachable.
     async fn connection(
         self: &Arc<Self>,
         to: SocketAddr,
@@ -263,7 +270,8 @@
         Some(connection)
     }
 
-    /// Connects from the usual port, or from a new one where that way was silent the last time.
+    /// Connects from the listening port, or from a new port if the peer did not respond to the listening port
+    /// last time.
     async fn connect(&self, to: SocketAddr) -> Option<Connection> {
         let was_unresponsive = self.unresponsive.lock().expect("unresponsive").remove(&to);
         let endpoint =
@@ -276,17 +284,20 @@
         connection
     }
 
-    /// An endpoint that lasts as long as its connections.
+    /// Opens an endpoint on a new port. It lives as long as its connections.
     fn endpoint_on_new_port(&self) -> Option<Endpoint> {
         let ip = self.endpoint.local_addr().ok()?.ip();
         let bound = Endpoint::client(SocketAddr::new(ip, 0));
         let mut endpoint = bound
-            .inspect_err(|e| warn!(why = e.to_string().as_str(); "no new port for a peer"))
+            .inspect_err(
+                |e| warn!(why = e.to_string().as_str(); "failed to open a new port to a peer"),
+            )
             .ok()?;
         endpoint.set_default_client_config(self.client.clone());
         Some(endpoint)
     }
 
+    /// Stores a connection under the address of its peer and removes closed ones.
     fn add_connection(&self, connection: Connection) {
         let mut connections = self.connections.lock().expect("connections");
         connections.retain(|_, c| c.close_reason().is_none());
@@ -297,7 +308,7 @@
         self.read(connection, handler).await;
     }
 
-    /// Reads one connection until it closes.
+    /// Handles the incoming messages and streams of a connection until it closes.
     async fn read(self: &Arc<Self>, connection: Connection, handler: Arc<dyn Handler>) {
         let from = connection.remote_address();
         loop {
@@ -312,7 +323,7 @@
                     tokio::spawn(async move {
                         match recv.read_to_end(MAX_MESSAGE_BYTES).await {
                             Ok(bytes) => peers.receive(from, &bytes, &*handler),
-                            Err(e) => debug!(peer = from.to_string().as_str(), why = e.to_string().as_str(); "message not received"),
+                            Err(e) => debug!(peer = from.to_string().as_str(), why = e.to_string().as_str(); "failed to receive a message from a peer"),
                         }
                     });
                 }
@@ -326,7 +337,7 @@
         }
     }
 
-    /// A message came, as a datagram or on a stream of its own.
+    /// Passes a one-way message to the handler, unless communication with the sender is blocked.
     fn receive(&self, from: SocketAddr, bytes: &[u8], handler: &dyn Handler) {
         self.traffic.count("in", bytes.len());
         if !self.is_cut(from) {
@@ -334,6 +345,7 @@
         }
     }
 
+    /// Reads the first message of a stream opened by a peer and passes both to the handler.
     async fn answer(
         self: Arc<Self>,
         send: SendStream,
@@ -347,14 +359,14 @@
     }
 }
 
-/// Sends a message on a stream of its own.
+/// Sends a one-way message on a new unidirectional stream.
 async fn send_on_stream(connection: &Connection, bytes: &[u8]) -> Result<(), String> {
     let mut stream = connection.open_uni().await.map_err(|e| e.to_string())?;
     stream.write_all(bytes).await.map_err(|e| e.to_string())?;
     stream.finish().map_err(|e| e.to_string())
 }
 
-/// A stream to a peer that carries messages both ways, each behind its length.
+/// A bidirectional stream to a peer. Each message is preceded by its length.
 pub struct PeerStream {
     send: SendStream,
     recv: RecvStream,
@@ -362,7 +374,7 @@
 }
 
 impl PeerStream {
-    /// Sends a message.
+    /// Sends a message on the stream.
     pub async fn send(&mut self, message: &impl Serialize) -> Result<(), NoAnswer> {
         let body = message::encode(message);
         let mut bytes = (body.len() as u32).to_le_bytes().to_vec();
@@ -371,7 +383,8 @@
         self.send.write_all(&bytes).await.map_err(discard_reason)
     }
 
-    /// Receives a message. Not to be given up halfway, except to end the stream.
+    /// Receives the next message. Not cancel-safe: if the future is dropped midway, the stream cannot be read
+    /// any further.
     pub async fn receive<T: DeserializeOwned>(&mut self) -> Result<T, NoAnswer> {
         let bytes = self.receive_bytes().await?;
         message::decode(&bytes).map_err(discard_reason)
@@ -392,7 +405,7 @@
         Ok(bytes)
     }
 
-    /// Says that nothing more comes and waits until the peer has it all.
+    /// Closes the sending side and waits, for a limited time, until the peer has received everything.
     pub async fn finish(&mut self) {
         if self.send.finish().is_ok() {
             let _ = timeout(CONNECT_TIMEOUT, self.send.stopped()).await;
