--- a/src/tls.rs
+++ b/src/tls.rs
@@ -1,4 +1,4 @@
-//! Mutual TLS between daemons.
+//! TLS configuration and certificates for connections between daemons.
 
 use crate::config::PeerTls;
 use crate::error::{Error, Result, WriteSnafu};
@@ -16,26 +16,28 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// The name in every daemon's certificate; the authority, not the name, is what counts.
+/// Server name in every daemon's certificate. It is the same for all daemons: a peer is trusted because of
+/// the certificate authority that signed its certificate, not because of the name.
 pub const NAME: &str = "tidestair";
+/// ALPN protocol name of connections between daemons.
 const ALPN_PROTOCOL: &[u8] = b"tidestair/1";
 
-/// A daemon's certificate and the authority that it trusts.
+/// A daemon's certificate and private key, and the certificate authority that it trusts.
 pub struct Identity {
-    /// `None` where peers are not authenticated.
+    /// `None` if peers are not authenticated.
     ca: Option<CertificateDer<'static>>,
     cert: CertificateDer<'static>,
     key: PrivateKeyDer<'static>,
 }
 
-/// An authority that signs daemons, for tests, replay and quickstart.
+/// A certificate authority that signs daemons' certificates, for tests, replay and quickstart.
 pub struct Authority {
     issuer: Issuer<'static, KeyPair>,
     cert: CertificateDer<'static>,
 }
 
 impl Authority {
-    /// A new authority.
+    /// Generates a certificate authority.
     pub fn generate() -> Result<Authority> {
         let mut params = CertificateParams::new(Vec::new()).map_err(tls_error)?;
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
@@ -44,7 +46,7 @@
         Ok(Authority { cert: cert.der().clone(), issuer: Issuer::new(params, key) })
     }
 
-    /// A certificate for one daemon.
+    /// Generates a key for a daemon and signs a certificate for it.
     pub fn sign(&self) -> Result<Identity> {
         let mut params = CertificateParams::new(vec![NAME.to_string()]).map_err(tls_error)?;
         params.extended_key_usages =
@@ -69,14 +71,15 @@
         Ok(Identity { ca: Some(ca), cert, key })
     }
 
-    /// A certificate of this process's own, for a network where whoever reaches a daemon may also
-    /// write to the store that configures it: links are encrypted, and peers are not authenticated.
+    /// Generates a certificate for this process only. Connections are encrypted, but peers are not
+    /// authenticated. This is for networks where anyone who can reach a daemon can also write to the store
+    /// that configures it, so that authentication would add no protection.
     pub fn unauthenticated() -> Result<Identity> {
         let identity = Authority::generate()?.sign()?;
         Ok(Identity { ca: None, ..identity })
     }
 
-    /// Writes `ca.pem`, `cert.pem` and `key.pem` into a folder.
+    /// Writes `ca.pem`, `cert.pem` and `key.pem` to a directory.
     pub fn write(&self, dir: &Path) -> Result<()> {
         let ca: &[u8] = self.ca.as_ref().map_or(&[], |ca| ca.as_ref());
         let files = [
@@ -91,7 +94,7 @@
         Ok(())
     }
 
-    /// What the listening side needs.
+    /// Returns the TLS configuration for accepting connections.
     pub fn server(&self) -> Result<Arc<QuicServerConfig>> {
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let builder = rustls::ServerConfig::builder_with_provider(provider.clone())
@@ -112,7 +115,7 @@
         Ok(Arc::new(QuicServerConfig::try_from(tls).map_err(tls_error)?))
     }
 
-    /// What the connecting side needs.
+    /// Returns the TLS configuration for opening connections.
     pub fn client(&self) -> Result<Arc<QuicClientConfig>> {
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let builder = rustls::ClientConfig::builder_with_provider(provider.clone())
@@ -139,7 +142,7 @@
     Ok(roots)
 }
 
-/// Takes any peer's certificate; see [`Identity::unauthenticated`].
+/// Certificate verifier that accepts any certificate; see [`Identity::unauthenticated`].
 #[derive(Debug)]
 struct AcceptAnyPeer(Arc<CryptoProvider>);
 
@@ -180,7 +183,7 @@
     }
 }
 
-/// DER bytes as PEM text.
+/// Encodes DER data as PEM.
 fn pem(label: &str, der: &[u8]) -> String {
     const LINE_LENGTH: usize = 64;
     let text = STANDARD.encode(der);
