--- a/src/peer.rs
+++ b/src/peer.rs
@@ -18,6 +18,7 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
+/// Time limit for connecting to a peer, for opening or sending on a stream, and for closing one.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Maximum size of a message on a bidirectional stream, in bytes.
 const MAX_STREAM_MESSAGE_BYTES: usize = 64 << 20;
@@ -26,6 +27,7 @@
 /// Maximum number of one-way messages that a peer may have in transit on streams. A few are enough, because
 /// heartbeats are sent one after the other.
 const MAX_CONCURRENT_MESSAGES: u32 = 4;
+/// Size of the little-endian length before each message on a bidirectional stream, in bytes.
 const LENGTH_PREFIX_BYTES: usize = 4;
 
 /// Limits on the connections to peers.
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -23,7 +23,7 @@
         "the platform's key-value service is unavailable ({reason}); the call is retried, check the service's health"
     ))]
     Unavailable {
-        /// What was seen.
+        /// What went wrong in the call, as seen by the client.
         reason: String,
     },
     /// The call may have taken effect.
@@ -31,7 +31,7 @@
         "the platform's key-value service did not answer ({reason}); a read will show whether the call took effect"
     ))]
     NoAnswer {
-        /// What was seen.
+        /// What went wrong in the call, as seen by the client.
         reason: String,
     },
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -21,6 +21,7 @@
 
 /// The same point in time on the standard clock and on the boot-time clock.
 struct Origin {
+    /// Time on the standard clock.
     moment: Instant,
     /// Time since the VM booted, including suspensions.
     boot: Duration,
--- a/src/tls.rs
+++ b/src/tls.rs
@@ -73,7 +73,7 @@
 
     /// Generates a certificate for this process only. Connections are encrypted, but peers are not
     /// authenticated. This is for networks where anyone who can reach a daemon can also write to the store
-    /// that configures it, so that authentication would add no protection.
+    /// that configures it.
     pub fn unauthenticated() -> Result<Identity> {
         let identity = Authority::generate()?.sign()?;
         Ok(Identity { ca: None, ..identity })
