--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -67,7 +67,7 @@
             Err(Failure::unknown(Reason::new(
                 504,
                 "out_of_time",
-                "no response before the deadline",
+                "no answer within the time given",
             )))
         });
         let kind = call.route.kind.name();
@@ -311,11 +311,8 @@
                 Err(refused(proof, why))
             }
             None => {
-                let reason = Reason::new(
-                    502,
-                    why.reason,
-                    "the backend server did not return a complete response",
-                );
+                let reason =
+                    Reason::new(502, why.reason, "the backend server gave no whole answer");
                 fallback.ok_or(Failure::unknown(reason))
             }
         }
