--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -6,9 +6,9 @@
 //! requests are in time. A request is therefore refused at once if the server that suits it best has too
 //! much to read or too little memory left.
 //!
-//! Measured with some 51 engines at nine tenths of the prompts that they can read, with a sixth of them
-//! leaving every 3.3 s: 774 of 1,271 drafts began in time instead of 617, and 1,490 of 2,393 summaries
-//! instead of 1,203. A twentieth of all requests was refused.
+//! With some 51 engines at nine tenths of the prompts that they can read, and a sixth of them leaving every
+//! 3.3 s, the bound lets 774 of 1,271 drafts begin in time instead of 617, and 1,490 of 2,393 summaries
+//! instead of 1,203. It refuses a twentieth of all requests for this.
 //!
 //! The decision looks at the server that suits the request best, not at the least crowded one. A daemon
 //! learns what others have sent about 0.1 s late, and of many servers, the one that seems emptiest is the
--- a/src/gateway/core.rs
+++ b/src/gateway/core.rs
@@ -97,7 +97,7 @@
     budget: Mutex<SharedRetryBudget>,
     quarantine: Mutex<Quarantine>,
     pub(super) rollouts: Mutex<Rollouts>,
-    /// Notified when a roll-out is ordered or advances.
+    /// Notified when a rollout is ordered or advances.
     pub(super) rollout_changed: Notify,
     exposure: Mutex<f64>,
     /// Quota at limited servers that was promised to callers who come back, by service.
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -201,7 +201,7 @@
             return false;
         };
         let revision = read.revision.min(halls.revision).min(rollouts.revision);
-        // A roll-out order has to be applied before the servers that it concerns.
+        // A rollout order has to be applied before the servers that it concerns.
         read.changes.extend(halls.changes);
         read.changes.extend(rollouts.changes);
         read.changes.sort_by_key(|change| change.revision);
--- a/src/gateway/heartbeat.rs
+++ b/src/gateway/heartbeat.rs
@@ -63,9 +63,9 @@
     pub outcomes: Vec<(Tag, Outcomes)>,
     /// What happened to the servers that ran suspected requests.
     pub evidence: Vec<(Fingerprint, Evidence)>,
-    /// The results of requests in roll-outs that are in progress.
+    /// The results of requests in rollouts that are in progress.
     pub tallies: Vec<(Stratum, Tally)>,
-    /// The minimum time since each of these roll-outs was ordered, in milliseconds.
+    /// The minimum time since each of these rollouts was ordered, in milliseconds.
     pub rollout_ages: Vec<(Tag, u32)>,
 }
 
--- a/src/gateway/limit.rs
+++ b/src/gateway/limit.rs
@@ -15,9 +15,9 @@
 //! spreads the turns evenly without coordination, and an unused turn expires: otherwise an idle fleet would
 //! send one request from each daemon at once.
 //!
-//! Compared in simulated fleets of 6 to 294 daemons before a server that takes 2 to 10 requests a second:
-//! equal fractions keep the limit as well, but leave more of it unused where requests reach only a few
-//! daemons. Counting what all daemons sent lately, as is done for retries, lets every daemon that has no
+//! Two simpler schemes do worse in fleets of 6 to 294 daemons that share a server which takes 2 to 10 requests
+//! a second. Equal fractions keep the limit as well, but leave more of it unused where requests reach only a
+//! few daemons. Counting what all daemons sent lately, as is done for retries, lets every daemon that has no
 //! reports of the others yet use the same quota. The figures are in `docs/design/limits.md`.
 
 use crate::gateway::clock::millis_between;
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -44,7 +44,7 @@
     pub resting_servers: IntGauge,
     /// Requests sent to servers that had announced that they leave or back off, by announcement.
     pub unheeded_sendings: IntCounterVec,
-    /// Roll-out states that came into force, by state.
+    /// Rollout states that came into force, by state.
     pub rollouts: IntCounterVec,
     /// Reads of the store, by outcome.
     pub store_reads: IntCounterVec,
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -12,7 +12,7 @@
 //!
 //! A copy that is behind receives small values first, so that a server that is leaving is excluded at
 //! once, however long a large configuration takes to transfer. The copy's position advances only once it
-//! has all values. Servers' entries, closed halls and roll-out orders have a position of their own,
+//! has all values. Servers' entries, closed halls and rollout orders have a position of their own,
 //! which may be ahead: they are read separately while a large answer is still being received.
 
 mod activate;
@@ -327,7 +327,7 @@
     }
 
     /// The prefixes of the urgent keys, which are read separately from large values: servers' entries,
-    /// closed halls and roll-out orders.
+    /// closed halls and rollout orders.
     pub fn urgent_prefixes(&self) -> [&str; 3] {
         [self.schema.servers(), self.schema.closed_halls(), self.schema.rollouts()]
     }
@@ -519,7 +519,7 @@
     }
 
     /// Whether a key is read and sent separately from large values: a server's entry, a closed hall or a
-    /// roll-out order.
+    /// rollout order.
     fn is_urgent(&self, key: &str) -> bool {
         self.urgent_prefixes().iter().any(|prefix| key.starts_with(prefix))
     }
--- a/src/gateway/mirror/retained.rs
+++ b/src/gateway/mirror/retained.rs
@@ -122,7 +122,7 @@
         state.retained.insert(key.into(), retention);
     }
 
-    /// Has the record of a roll-out written again.
+    /// Has the record of a rollout written again.
     fn rewrite_lost_record(
         &self,
         state: &State,
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -112,7 +112,7 @@
     pub(super) readable: bool,
     /// Whether it is treated as leaving only because the store no longer lists it.
     pub(super) unlisted: bool,
-    /// Whether it is treated as leaving only because a roll-out retires its version.
+    /// Whether it is treated as leaving only because a rollout retires its version.
     retired: bool,
     /// Work that this daemon has there.
     pub own_load: Load,
@@ -224,7 +224,7 @@
         self.reach.is_skipped(now)
     }
 
-    /// Whether it is leaving for certain, rather than suspected or retired by a roll-out.
+    /// Whether it is leaving for certain, rather than suspected or retired by a rollout.
     pub(super) fn is_known_to_leave(&self) -> bool {
         *self.leaving.borrow() && self.suspected.is_none() && !self.retired
     }
@@ -234,7 +234,7 @@
         self.is_known_to_leave() && !self.record.leaving
     }
 
-    /// Applies that a roll-out has retired its version or put it back into use.
+    /// Applies that a rollout has retired its version or put it back into use.
     pub(super) fn set_retired(&mut self, retired: bool) {
         if retired && !self.retired && !self.is_known_to_leave() {
             (self.retired, self.suspected) = (true, None);
--- a/src/gateway/servers.rs
+++ b/src/gateway/servers.rs
@@ -40,7 +40,7 @@
     pub limits: Vec<(Tag, LimitReport)>,
 }
 
-/// Sums of what the other daemons reported on servers, on requests that may end servers, and on roll-outs.
+/// Sums of what the other daemons reported on servers, on requests that may end servers, and on rollouts.
 #[derive(Debug, Default)]
 pub struct PeerStats {
     /// Work that they have running at each server.
@@ -49,7 +49,7 @@
     pub outcomes: HashMap<Tag, Outcomes>,
     /// How servers fared that ran suspected requests.
     pub evidence: HashMap<Fingerprint, Evidence>,
-    /// Outcomes of requests in roll-outs that are in progress.
+    /// Outcomes of requests in rollouts that are in progress.
     pub rollouts: rollout::Reports,
 }
 
@@ -89,7 +89,7 @@
     backing_off: HashSet<ServerKey>,
     past: Past,
     halls: ClosedHalls,
-    /// Versions of each service that a roll-out has retired.
+    /// Versions of each service that a rollout has retired.
     retired: HashMap<Arc<str>, Retired>,
 }
 
--- a/src/gateway/slot.rs
+++ b/src/gateway/slot.rs
@@ -71,11 +71,11 @@
     pub store_age: Option<Duration>,
     /// Prompt tokens that waited to be read at the server before this request.
     pub waiting_tokens: u32,
-    /// The roll-out sample that this request's result counts for, if any.
+    /// The rollout sample that this request's result counts for, if any.
     pub rollout_sample: Option<RolloutSample>,
 }
 
-/// A request whose result counts in a roll-out.
+/// A request whose result counts in a rollout.
 #[derive(Debug, Clone, Copy)]
 pub struct RolloutSample {
     stratum: Stratum,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Records how the exchange went, for the server and for the roll-out.
+    /// Records how the exchange went, for the server and for the rollout.
     pub fn record_result(&self, failed: bool) {
         self.gateway.record_result(self.key(), failed);
         if let Some(sample) = self.rollout_sample {
@@ -135,7 +135,7 @@
     }
 
     /// Records that the server refused the request. This says nothing about the server's version, so it
-    /// doesn't count in a roll-out.
+    /// doesn't count in a rollout.
     pub fn record_refusal(&self) {
         self.gateway.record_result(self.key(), true);
     }
@@ -166,7 +166,7 @@
 struct ServerFilter<'a> {
     /// Servers that are excluded, because they were tried or have refused.
     excluded: &'a [ServerKey],
-    /// The roll-out's selection for the request; `None` if no roll-out distinguishes between servers.
+    /// The rollout's selection for the request; `None` if no rollout distinguishes between servers.
     pick: Option<&'a Pick>,
 }
 
@@ -287,7 +287,7 @@
         Ok(slot)
     }
 
-    /// Records the result of a request that counts in a roll-out.
+    /// Records the result of a request that counts in a rollout.
     pub(crate) fn record_rollout_sample(&self, sample: RolloutSample, failed: bool) {
         let time = (!failed).then(|| time::since(sample.sent).max(sample.time_floor));
         self.rollouts().record_outcome(sample.stratum, time);
--- a/src/gateway/sums.rs
+++ b/src/gateway/sums.rs
@@ -171,7 +171,7 @@
     pub(crate) outcomes: HashMap<Tag, Outcomes>,
     /// What happened to the servers that ran suspected requests.
     pub(crate) evidence: HashMap<Fingerprint, Evidence>,
-    /// The results of requests in roll-outs.
+    /// The results of requests in rollouts.
     pub(crate) rollouts: rollout::Reports,
 }
 
--- a/src/gateway/view.rs
+++ b/src/gateway/view.rs
@@ -498,7 +498,7 @@
         (!halls.is_empty()).then(|| adder.sum(Origin::OtherHalls, &self.clock, now))
     }
 
-    /// The other daemons' figures on servers, on quarantined requests and on roll-outs.
+    /// The other daemons' figures on servers, on quarantined requests and on rollouts.
     pub fn peer_stats(&self, now: Instant) -> PeerStats {
         let mut adder = SumBuilder::default();
         self.reachable_in_cell(now).for_each(|peer| adder.add(&peer.stats));
