--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -1,14 +1,14 @@
 //! Admission control for crowded engines, and the time after which refused callers should come back.
 //!
 //! An engine reads prompts one after another, between the tokens of its running requests, and reads a
-//! prompt only once its run finds memory. When more requests arrive than all engines can read and hold, an
-//! unbounded queue grows until every first event is late. With a bounded queue, almost all admitted
+//! prompt only once there is memory for its run. When more requests arrive than all engines can read and
+//! hold, an unbounded queue grows until every first event is late. With a bounded queue, almost all admitted
 //! requests are in time. A request is therefore refused at once if the server that suits it best has too
 //! much to read or too little memory left.
 //!
 //! With some 51 engines at nine tenths of the prompts that they can read, and a sixth of them leaving every
-//! 3.3 s, the bound lets 774 of 1,271 drafts begin in time instead of 617, and 1,490 of 2,393 summaries
-//! instead of 1,203. It refuses a twentieth of all requests for this.
+//! 3.3 s, the bound lets 774 of 1,271 requests for drafts begin in time instead of 617, and 1,490 of 2,393
+//! requests for summaries instead of 1,203. It refuses a twentieth of all requests for this.
 //!
 //! The decision looks at the server that suits the request best, not at the least crowded one. A daemon
 //! learns what others have sent about 0.1 s late, and of many servers, the one that seems emptiest is the
@@ -25,8 +25,8 @@
 /// engine reads in that time. The rest of the SLO is for the request's own prompt and for what other
 /// daemons have sent there meanwhile.
 const WAITING_PER_MS: f64 = 2.0;
-/// The same for a caller that was refused before. It gets more than new callers, since it comes back when
-/// it was told to and has no time for a third try.
+/// The same for a caller that was refused before. It gets more than new callers, since it comes back after
+/// the time it was given and has no time for a third try.
 const WAITING_PER_MS_RETURNED: f64 = 3.0;
 /// Fraction of a server's memory that its runs may need at their longest for a new request to be admitted.
 /// The request itself then still fits: it takes up to a sixth of the memory of a small engine.
--- a/src/gateway/clock.rs
+++ b/src/gateway/clock.rs
@@ -1,9 +1,9 @@
-//! Dates statements of other daemons on this process's own clock.
+//! Dates reports of other daemons on this process's own clock.
 //!
 //! Daemons have no common clock, and the delay of a message is unknown. But each heartbeat echoes
 //! the last clock value that its sender received from the receiver, and says how long ago that was.
 //! The heartbeat was sent after that time, so ages in it are counted from there. A date that is
-//! computed in this way is never too recent, only somewhat too old, however often the statement is
+//! computed in this way is never too recent, only somewhat too old, however often the report is
 //! forwarded.
 
 use serde::{Deserialize, Serialize};
--- a/src/gateway/cluster.rs
+++ b/src/gateway/cluster.rs
@@ -2,7 +2,7 @@
 //! are, and which load they put on each server.
 //!
 //! No daemon is essential, and no consensus is needed. A heartbeat carries the sender's clock and
-//! echoes the receiver's, so that the receiver can date each statement in it on its own clock,
+//! echoes the receiver's, so that the receiver can date each report in it on its own clock,
 //! however long the message was under way. Within a [cell](crate::gateway::cell), heartbeats are
 //! sent several times a second and as soon as a load changes. Between cells and halls, relays
 //! exchange sums.
--- a/src/gateway/condition.rs
+++ b/src/gateway/condition.rs
@@ -1,5 +1,5 @@
-//! What backend servers say about themselves in answers, and what a daemon remembers of it for each start of
-//! a server.
+//! What backend servers say about themselves in answers, and what a daemon remembers of it for each server
+//! process.
 //!
 //! The adapter parses an answer once, on arrival, into [`Remarks`]. They are merged into the [`Condition`] of
 //! that start, which is kept for as long as the server may run: longer than the store lists it.
--- a/src/gateway/core.rs
+++ b/src/gateway/core.rs
@@ -49,8 +49,8 @@
 /// Smaller requests, such as those of plain services, are reported with the next heartbeat.
 const REPORTED_TOKENS: u32 = 100;
 
-/// Number of daemons in a region that are named to a caller from the roster, without this daemon having a
-/// heartbeat from them. An answer can name no more than this.
+/// Maximum number of daemons in a region that are returned to a caller from the roster alone, without a
+/// heartbeat from them. An answer holds no more addresses than this.
 const MAX_LISTED: usize = 64;
 
 /// Access to what other daemons report.
@@ -67,7 +67,7 @@
     fn borrow_quota(&self, wanted: Vec<LimitedServer>) -> BoxFuture<'_, Option<Tag>>;
 }
 
-/// A server that limits its requests and at which quota for one request is wanted.
+/// A rate-limited server for which this daemon wants to borrow quota for one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitedServer {
     /// Tag of the server.
@@ -115,7 +115,7 @@
     copy_changes: watch::Sender<u64>,
     /// Number of times that the store has been restored from an older copy of itself, as far as known.
     era: watch::Sender<u64>,
-    /// Counts changes to what this daemon has running.
+    /// Counts changes of the load that this daemon puts on servers.
     load_changes: watch::Sender<u64>,
     /// Notified when a request is sent to a server.
     pub(super) work_started: Notify,
@@ -231,7 +231,8 @@
         self.urgent_changes.send_modify(|count| *count += 1);
     }
 
-    /// Signals a change to what this daemon has running, if `load` is large enough to be reported at once.
+    /// Signals a change of the load that this daemon puts on servers, if `load` is large enough to be reported
+    /// at once.
     pub(super) fn signal_load_change(&self, load: Load) {
         if load.tokens >= REPORTED_TOKENS {
             self.load_changes.send_modify(|count| *count += 1);
@@ -259,7 +260,8 @@
         self.copy_changes.subscribe()
     }
 
-    /// Seconds between two requests at one server of the busiest service, as far as known.
+    /// Mean time between two requests to the same server, in seconds, for the service with the most requests
+    /// per server; infinite if no rate is known.
     pub(super) fn request_gap(&self, now: Instant) -> f64 {
         let rates = self.budget().rates(now);
         let servers = self.servers();
@@ -270,8 +272,8 @@
         gaps.fold(f64::INFINITY, f64::min)
     }
 
-    /// Subscribes to changes to what this daemon has running that are to be reported without waiting for
-    /// the next heartbeat.
+    /// Subscribes to changes of the load that this daemon puts on servers, as far as they are to be reported
+    /// without waiting for the next heartbeat.
     pub fn load_changes(&self) -> watch::Receiver<u64> {
         self.load_changes.subscribe()
     }
@@ -310,7 +312,7 @@
         Some(age)
     }
 
-    /// Whether the copy of the store is recent enough to accept keys by it.
+    /// Whether the copy of the store is recent enough to validate API keys against it.
     pub fn is_fresh(&self, now: Instant) -> bool {
         let Some(age) = self.in_force.age(now) else {
             return false;
@@ -338,7 +340,7 @@
         self.in_force.get()?.table.service(name).cloned()
     }
 
-    /// Addresses to give to a caller in `region` for a host.
+    /// Addresses of daemons to return to a caller in `region` for a host.
     ///
     /// If the host's routes restrict regions, only daemons in an allowed region or in the caller's own
     /// qualify. They are taken from the first of these that has any: `found`, the more distant daemons in
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -53,7 +53,7 @@
     tried: Vec<ServerKey>,
     /// How many of these were unreachable, so that the request never arrived there.
     unreached: usize,
-    /// Number of sends that may have run.
+    /// Number of sends after which the request may have run.
     runs: u32,
 }
 
@@ -156,7 +156,7 @@
             let (servers, why) = (self.gateway.servers(), "servers_refuse".into());
             return Err(self.gateway.after_backoff(why, &servers, &self.service, self.call, now));
         }
-        // Only a send after one that arrived at a server counts as a repeat.
+        // A send counts as a retry only if an earlier one arrived at a server.
         match arrived {
             0 => {
                 let admission_class = self.admission_class();
@@ -223,7 +223,8 @@
             return SendOutcome::NotRun(declared(), "replaced");
         }
         if reply.declined && matches!(reply.status.as_u16(), 408 | 429 | 503) {
-            // A server that declines is idle, so it looks free to every daemon that it has not declined yet.
+            // A server that declines requests has no load, so it looks free to daemons whose requests it has
+            // not declined yet. The failure recorded here is reported to them.
             slot.record_refusal();
             return SendOutcome::NotRun(declared(), "declined");
         }
--- a/src/gateway/limit.rs
+++ b/src/gateway/limit.rs
@@ -37,10 +37,10 @@
 /// Least requests a second that all daemons together send to a limited server, even if it names less or zero:
 /// one in ten seconds, since only an answer shows that the limit has ended.
 const MIN_RATE: f64 = 0.1;
-/// How long peers are told that a limit has ended: longer than a heartbeat with the old limit may be under
+/// How long the end of a limit is reported to peers: longer than a heartbeat with the old limit may be under
 /// way.
 const ENDED_REPORT_TIME: Duration = Duration::from_secs(10);
-/// Relative change of a limit from which peers are told at once rather than with the next heartbeat.
+/// Relative change of a limit from which it is reported to peers at once rather than with the next heartbeat.
 const URGENT_CHANGE: f64 = 0.1;
 
 /// What an answer says about its server's limit.
@@ -127,8 +127,8 @@
 }
 
 impl Limit {
-    /// Applies what the server said at `said`, unless something newer is known. Returns whether peers should
-    /// be told at once.
+    /// Applies what the server said at `said`, unless something newer is known. Returns whether the change
+    /// should be reported to peers at once.
     pub fn update(&mut self, rate: Option<f64>, said: Instant, now: Instant) -> bool {
         if self.reported_at.is_some_and(|known| said <= known) {
             return false;
@@ -199,7 +199,7 @@
         self.quota = self.quota.map(|quota| quota + 1.0);
     }
 
-    /// What peers should be told about this limit.
+    /// What to report to peers about this limit.
     pub fn for_peers(&self, now: Instant) -> Option<LimitReport> {
         let over = |at: Instant| now.saturating_duration_since(at) < ENDED_REPORT_TIME;
         let matters = self.rate.is_some() || self.ended.is_some_and(over);
--- a/src/gateway/mirror.rs
+++ b/src/gateway/mirror.rs
@@ -4,11 +4,12 @@
 //! Changes arrive from the store and from peers. A copy at [`Position`] `p` contains every change up to
 //! `p`. A peer's [`CopyStatus`] with the last significant change `c`, position `p` and age `age` says
 //! that there was no significant change between `c` and `p` as of `age` ago; it confirms any copy at `c`
-//! or later up to `p`. Each change carries its position in the store, and for one key a lower position
-//! never replaces a higher one.
+//! or later up to `p`. A server's heartbeat, which renews its entry, is not significant. Each change
+//! carries its position in the store, and never replaces a change of the same key at a higher position.
 //!
 //! The store may be restored from a backup, which starts a new era. Revisions of different eras can't be
-//! compared: all keys are read again, and a status from an earlier era confirms nothing.
+//! compared: all keys are read again, and a status from an earlier era confirms nothing. Values that the
+//! restored store lacks are retained for a time: they stay in effect until they are written again.
 //!
 //! A copy that is behind receives small values first, so that a server that is leaving is excluded at
 //! once, however long a large configuration takes to transfer. The copy's position advances only once it
@@ -38,8 +39,8 @@
 /// configuration with a few routes some thousand.
 const SMALL_VALUE_BYTES: usize = 4 << 10;
 /// A copy that has not been confirmed for this long, and that a peer can't update incrementally, fetches
-/// everything from that peer. Longer than two heartbeats: the daemon that reads for all usually sends an
-/// update sooner.
+/// everything from that peer. Longer than two heartbeats: the daemon that reads the store for the others
+/// usually sends an update sooner.
 const FULL_FETCH_AFTER: Duration = Duration::from_millis(600);
 
 /// A copy of the store's keys that puts their values into effect in a [`Gateway`]; see the module.
@@ -70,7 +71,7 @@
             position: state.position,
             last_change: state.last_change(),
             servers_position: urgent_position,
-            // Changes beyond that position may be incomplete.
+            // Changes beyond `urgent_position` may not all have arrived.
             last_server_change: state.last_urgent_change.min(urgent_position),
             deletions_known_after: state.deletions_known_after,
             age_ms,
@@ -113,7 +114,8 @@
         };
         let gone: Vec<String> =
             state.keys.iter().filter(is_gone).map(|(key, _)| key.to_string()).collect();
-        // Keys that were both written and deleted since this copy's last position are not in this read.
+        // Keys that were both written and deleted since this copy's last position are not in this read, so
+        // this copy doesn't know all deletions before `position`.
         state.deletions_known_after = position;
         let before = state.position;
         self.confirm(&mut state, position, as_of, now);
@@ -122,9 +124,9 @@
             self.apply_change(&mut state, change.into(), as_of, now);
         }
         for incoming in incoming {
-            // A key written since may have been deleted in between even if its value is the same: peers
-            // that applied the deletion need the key again. Peers that know more of the previous era
-            // than this copy get all keys.
+            // A key written after `before` may have been deleted in between even if its value is the
+            // same: peers that applied the deletion need the key again. Peers that know more of the
+            // previous era than this copy get all keys.
             let last_significant =
                 (!is_new_era && incoming.revision > before).then_some(incoming.revision);
             self.apply_change(
@@ -437,8 +439,8 @@
             (Content::Value(_), Content::Value(_)) if is_server => false,
             (before, after) => before != after,
         });
-        // The next record is written on condition that this one's revision is unchanged: a new revision
-        // counts as a change even if the content is the same.
+        // A rollout's next record is written on condition that the revision of this one is unchanged. After
+        // a restore, a new revision therefore counts as a change even if the content is the same.
         let is_record = key.starts_with(self.schema.rollout_records());
         let is_new = is_new || (is_of_later_era && is_record);
         let retention = state.retained.get(&*key);
--- a/src/gateway/outcomes.rs
+++ b/src/gateway/outcomes.rs
@@ -11,8 +11,8 @@
 /// Successes that are added to those observed, so that a single failure gives a failure rate of one half and
 /// not of one.
 const ASSUMED_SUCCESSES: f32 = 1.0;
-/// Weight of failures from which peers are told of a server: a single failure drops below it a little after
-/// four half-lives.
+/// Weight of failures from which a server's outcomes are reported to peers: a single failure drops below it a
+/// little after four half-lives.
 const REPORTED_FAILURES: f32 = 0.05;
 
 /// Counts of recent exchanges, each weighted by its age.
@@ -37,7 +37,7 @@
         f64::from(self.failed / (self.tried + ASSUMED_SUCCESSES))
     }
 
-    /// Whether peers should be told of these outcomes.
+    /// Whether these outcomes should be reported to peers.
     pub fn is_reportable(self) -> bool {
         self.failed >= REPORTED_FAILURES
     }
--- a/src/gateway/port.rs
+++ b/src/gateway/port.rs
@@ -18,7 +18,7 @@
 /// A backend server's address, with the id of the server that is expected there.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Destination {
-    /// Id that is new at each start of a server. Any other server at the address refuses the request.
+    /// Id that is new after each restart of a server. Any other server at the address refuses the request.
     pub id: Arc<str>,
     /// The server's address.
     pub addr: SocketAddr,
--- a/src/gateway/promises.rs
+++ b/src/gateway/promises.rs
@@ -1,9 +1,9 @@
 //! Quota at limited servers that is reserved for callers who were told to come back.
 //!
-//! Where no other server can take a request, its caller is refused at once and told when there will be quota
-//! for it. For that to hold, newcomers must leave the reserved quota alone. Only half of the growing quota
-//! may be reserved: callers who come back are served before newcomers, but some newcomers are still served at
-//! once rather than all of them later.
+//! Where no other server can take a request, its caller is refused at once, with the time at which there will
+//! be quota for it. For that time to hold, newcomers must leave the reserved quota alone. Only half of the
+//! growing quota may be reserved: callers who come back are served before newcomers, but some newcomers are
+//! still served at once rather than all of them later.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
--- a/src/gateway/quarantine.rs
+++ b/src/gateway/quarantine.rs
@@ -55,8 +55,8 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
     /// Servers that ended just after starting to run the request, since a server last survived it, each with
-    /// its blame in halves. The tag identifies one start of a server, so that a server which several daemons
-    /// saw counts once.
+    /// its blame in halves. The tag identifies one process of a server, so that a process which several
+    /// daemons saw counts once.
     pub ended: BTreeMap<Tag, u32>,
     /// Whether a server recently survived the request.
     pub survived: bool,
@@ -193,7 +193,7 @@
         self.quarantined.remove(&request);
     }
 
-    /// Records that a server ended just after starting to run a request; `server` is the tag of its start.
+    /// Records that a server ended just after starting to run a request; `server` is the tag of its process.
     /// Returns whether this proves that the request crashes servers.
     pub fn record_ended(
         &mut self,
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -42,8 +42,8 @@
 }
 
 impl ServerRecord {
-    /// The tag of this start of the server. It differs from start to start, so that reports of peers about an
-    /// earlier start don't apply to this one.
+    /// The tag of this server process. It differs after each restart, so that reports of peers about an earlier
+    /// process of the server don't apply to this one.
     pub(super) fn tag(&self) -> Tag {
         let id = Tag::of(&self.id);
         self.started_ms.map_or(id, |born| id.combined_with(Tag::of_number(born)))
@@ -106,7 +106,7 @@
 pub struct Server {
     /// Its entry in the store.
     pub record: ServerRecord,
-    /// The tag of its start.
+    /// The tag of its process.
     pub(super) tag: Tag,
     /// Whether its entry in the store can be read; no new work is sent to it otherwise.
     pub(super) readable: bool,
@@ -175,7 +175,7 @@
         self.readable && !*self.leaving.borrow()
     }
 
-    /// The tag of this start of the server.
+    /// The tag of this server process.
     pub fn tag(&self) -> Tag {
         self.tag
     }
--- a/src/gateway/servers.rs
+++ b/src/gateway/servers.rs
@@ -40,14 +40,14 @@
     pub limits: Vec<(Tag, LimitReport)>,
 }
 
-/// Sums of what the other daemons reported on servers, on requests that may end servers, and on rollouts.
+/// Sums of what the other daemons reported on servers, on requests that may crash servers, and on rollouts.
 #[derive(Debug, Default)]
 pub struct PeerStats {
     /// Work that they have running at each server.
     pub loads: HashMap<Tag, Load>,
     /// Outcomes of their exchanges with each server.
     pub outcomes: HashMap<Tag, Outcomes>,
-    /// How servers fared that ran suspected requests.
+    /// What happened to the servers that ran suspected requests.
     pub evidence: HashMap<Fingerprint, Evidence>,
     /// Outcomes of requests in rollouts that are in progress.
     pub rollouts: rollout::Reports,
@@ -64,7 +64,7 @@
     pub service: Arc<str>,
     /// Since when it is suspected of leaving.
     pub suspected: Option<Instant>,
-    /// When it was last found not to leave although its health check had failed.
+    /// When it last turned out not to be leaving although its health check had failed.
     pub cleared: Option<Instant>,
 }
 
@@ -76,7 +76,7 @@
     by_tag: HashMap<Tag, ServerKey>,
     /// Listed servers by service and hall.
     index: Index,
-    /// Servers on which this daemon may have something to report. The cost of a report thus grows with the
+    /// Servers about which this daemon may have something to report. The cost of a report thus grows with the
     /// servers that this daemon uses, not with the size of the fleet.
     reportable: HashSet<ServerKey>,
     /// Servers that the latest reports of the other daemons name.
@@ -94,8 +94,9 @@
 }
 
 impl Servers {
-    /// Applies the store's entry of a server. That a start of a server leaves is never reset. Another start
-    /// under the same id is a new server, which has none of the runs or the state of the one before.
+    /// Applies the store's entry of a server. A server that is leaving stays so until its process is
+    /// restarted. After a restart, the same id stands for a new server, without the runs and the state of the
+    /// one before.
     pub fn upsert(&mut self, record: ServerRecord, now: Instant) {
         let known = self.by_id.get(&record.id).copied();
         match known.filter(|key| self.arena[*key].record.started_ms == record.started_ms) {
@@ -160,8 +161,8 @@
         keys.into_iter().map(|key| (key, &self.arena[key])).collect()
     }
 
-    /// Adds a start of a server that is not listed. One that was listed before and still has runs of this
-    /// daemon is known, and is listed again: its entry had expired.
+    /// Adds a server that is not listed. If the same server process was listed before and still has runs of
+    /// this daemon, its entry had only expired: it is listed again and keeps its state.
     fn add(&mut self, record: ServerRecord, now: Instant) {
         let id = record.id.clone();
         let is_it = |server: &Server| {
@@ -181,7 +182,7 @@
         self.update_retired(key);
     }
 
-    /// Inserts a start of a server, and restores what it said about itself if it was listed before.
+    /// Inserts a server, and restores what it said about itself if the same process was listed before.
     fn insert_with_past(&mut self, record: ServerRecord, now: Instant) -> ServerKey {
         let mut server = Server::new(record, now);
         let past = self.past.take(server.tag);
@@ -219,8 +220,8 @@
         server.is_some_and(|server| self.by_id.get(&server.record.id) == Some(&key))
     }
 
-    /// Drops backoffs that are over, and servers from the reportable ones on which there is nothing to
-    /// report.
+    /// Drops backoffs that are over, and removes servers about which there is nothing to report from the
+    /// reportable ones.
     pub fn prune(&mut self, now: Instant) {
         self.end_backoffs(now);
         let arena = &self.arena;
@@ -228,7 +229,7 @@
             .retain(|key| arena.get(*key).is_some_and(|server| server.has_unreported(now)));
     }
 
-    /// Handles that the store no longer lists a server: its runs go on, and it gets no new work.
+    /// Unlists a server whose entry is gone from the store: its runs go on, and it gets no new work.
     pub fn remove(&mut self, id: &str) {
         let Some(key) = self.by_id.remove(id) else {
             return;
@@ -402,7 +403,7 @@
         self.arena.get(key)
     }
 
-    /// A server by the tag of its start.
+    /// A server by its tag, which differs after each restart.
     pub fn get_by_tag(&self, tag: Tag) -> Option<&Server> {
         self.arena.get(*self.by_tag.get(&tag)?)
     }
--- a/src/gateway/servers/limits.rs
+++ b/src/gateway/servers/limits.rs
@@ -10,7 +10,7 @@
 
 impl Servers {
     /// Applies what an answer to a request that was sent at `asked` says about its server's limit. Returns
-    /// whether peers should be told at once.
+    /// whether the change should be reported to peers at once.
     ///
     /// A limit is dated now, while the absence of one is dated when the request was sent: an answer that took
     /// long must not cancel a limit that the server has named since.
@@ -33,7 +33,7 @@
         is_new
     }
 
-    /// Updates whether a server counts as limited, and whether peers are to be told of its limit.
+    /// Updates whether a server counts as limited, and whether its limit is reported to peers.
     pub(super) fn refresh_limited(&mut self, key: ServerKey, now: Instant) {
         let limit = &self.arena[key].condition.limit;
         if limit.for_peers(now).is_some() {
--- a/src/gateway/view.rs
+++ b/src/gateway/view.rs
@@ -114,7 +114,7 @@
         }
     }
 
-    /// The clock that dates the statements of other daemons.
+    /// The clock that dates the reports of other daemons.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
