--- a/src/gateway/heartbeat.rs
+++ b/src/gateway/heartbeat.rs
@@ -21,7 +21,7 @@
 pub struct Heartbeat {
     /// The sender.
     pub daemon: Daemon,
-    /// Identifies the process start of the sender.
+    /// Identifies the sender's process; differs after a restart.
     pub boot: u64,
     /// The sender's clock, in microseconds since its start.
     pub stamp: u64,
--- a/src/gateway/limited.rs
+++ b/src/gateway/limited.rs
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Reserves quota for a caller that is told to come back at `due`.
+    /// Reserves quota for a refused caller that should retry at `due`.
     pub(super) fn reserve_quota(&self, service: &Arc<str>, due: Instant) {
         self.promises().entry(service.clone()).or_default().reserve(due);
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -9,8 +9,8 @@
 //!   requests must stay in
 //! - [`condition`], `remarks`: what servers say about themselves in their responses
 //! - [`rollout`]: rollout of a new version of a service's servers
-//! - [`limit`], `limited`, [`promises`]: servers that limit how many requests they accept, and the callers
-//!   that were told when to retry there
+//! - [`limit`], `limited`, [`promises`]: servers that limit how many requests they accept, and the quota
+//!   reserved there for refused callers, who were given a time to retry at
 //! - [`admission`]: which requests are admitted while engines are crowded
 //! - [`core`], [`slot`]: the state that all requests of a daemon share, and the slots of requests at servers
 //! - [`forward`], `relay`, `upstream`, [`events`], `moving`: forwarding requests, relaying event streams, and
--- a/src/gateway/promises.rs
+++ b/src/gateway/promises.rs
@@ -1,4 +1,4 @@
-//! Quota at limited servers that is reserved for callers who were told to come back.
+//! Quota at limited servers that is reserved for refused callers, who were given a time to retry at.
 //!
 //! Where no other server can take a request, its caller is refused at once, with the time at which there will
 //! be quota for it. For that time to hold, newcomers must leave the reserved quota alone. Only half of the
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Reserves quota for a caller that was told to come back at `due`.
+    /// Reserves quota for a refused caller that should retry at `due`.
     pub fn reserve(&mut self, due: Instant) {
         let at = self.due.partition_point(|other| *other <= due);
         self.due.insert(at, due);
--- a/src/gateway/rollout/verdict.rs
+++ b/src/gateway/rollout/verdict.rs
@@ -18,8 +18,8 @@
 /// Fraction of the baseline's successful requests that would fail at a bad version, in addition to its
 /// failures.
 const BAD_FAILURE_INCREASE: f64 = 0.2;
-/// Lower bound for the baseline's failure rate. Lower rates can't be told from zero with a few hundred
-/// requests.
+/// Lower bound for the baseline's failure rate. Lower rates can't be distinguished from zero with a few
+/// hundred requests.
 const MIN_FAILURE_RATE: f64 = 0.02;
 /// Fraction of the baseline's responses that count as its slowest.
 const SLOW_FRACTION: f64 = 0.25;
--- a/src/gateway/slot.rs
+++ b/src/gateway/slot.rs
@@ -49,7 +49,7 @@
     pub reason: &'static str,
     /// Time after which the caller should come back.
     pub retry_after: Duration,
-    /// When quota is to be reserved for the caller, if it is told when to come back.
+    /// Time of the retry for which quota is to be reserved; `None` if no quota is reserved.
     pub due: Option<Instant>,
 }
 
--- a/src/gateway/suspicion.rs
+++ b/src/gateway/suspicion.rs
@@ -40,8 +40,8 @@
     }
 
     /// Handles the loss of a run that had not begun or had just begun: if the server has ended, the request
-    /// may be the cause. A server that was known to leave ended for that reason. Peers are told at once that
-    /// nothing listens at the address, and of the evidence against the request.
+    /// may be the cause. A server that was known to leave ended for that reason. It is reported to peers at
+    /// once that nothing listens at the address, together with the evidence against the request.
     pub(crate) async fn handle_lost_run(&self, call: &Call, slot: &Slot, run: RunProgress) {
         if *slot.notice.borrow()
             || !self.wire.refuses_connections(slot.place.destination.addr, PROBE_TIMEOUT).await
