--- a/src/gateway/heartbeat.rs
+++ b/src/gateway/heartbeat.rs
@@ -21,7 +21,7 @@
 pub struct Heartbeat {
     /// The sender.
     pub daemon: Daemon,
-    /// Identifies the process start of the sender.
+    /// Identifies the sender's process; differs after a restart.
     pub boot: u64,
     /// The sender's clock, in microseconds since its start.
     pub stamp: u64,
@@ -63,9 +63,9 @@
     pub outcomes: Vec<(Tag, Outcomes)>,
     /// What happened to the servers that ran suspected requests.
     pub evidence: Vec<(Fingerprint, Evidence)>,
-    /// The results of requests in roll-outs that are in progress.
+    /// The results of requests in rollouts that are in progress.
     pub tallies: Vec<(Stratum, Tally)>,
-    /// The minimum time since each of these roll-outs was ordered, in milliseconds.
+    /// The minimum time since each of these rollouts was ordered, in milliseconds.
     pub rollout_ages: Vec<(Tag, u32)>,
 }
 
--- a/src/gateway/limit.rs
+++ b/src/gateway/limit.rs
@@ -15,9 +15,9 @@
 //! spreads the turns evenly without coordination, and an unused turn expires: otherwise an idle fleet would
 //! send one request from each daemon at once.
 //!
-//! Compared in simulated fleets of 6 to 294 daemons before a server that takes 2 to 10 requests a second:
-//! equal fractions keep the limit as well, but leave more of it unused where requests reach only a few
-//! daemons. Counting what all daemons sent lately, as is done for retries, lets every daemon that has no
+//! Two simpler schemes do worse in fleets of 6 to 294 daemons that share a server which takes 2 to 10 requests
+//! a second. Equal fractions keep the limit as well, but leave more of it unused where requests reach only a
+//! few daemons. Counting what all daemons sent lately, as is done for retries, lets every daemon that has no
 //! reports of the others yet use the same quota. The figures are in `docs/design/limits.md`.
 
 use crate::gateway::clock::millis_between;
@@ -37,10 +37,10 @@
 /// Least requests a second that all daemons together send to a limited server, even if it names less or zero:
 /// one in ten seconds, since only an answer shows that the limit has ended.
 const MIN_RATE: f64 = 0.1;
-/// How long peers are told that a limit has ended: longer than a heartbeat with the old limit may be under
+/// How long the end of a limit is reported to peers: longer than a heartbeat with the old limit may be under
 /// way.
 const ENDED_REPORT_TIME: Duration = Duration::from_secs(10);
-/// Relative change of a limit from which peers are told at once rather than with the next heartbeat.
+/// Relative change of a limit from which it is reported to peers at once rather than with the next heartbeat.
 const URGENT_CHANGE: f64 = 0.1;
 
 /// What an answer says about its server's limit.
@@ -127,8 +127,8 @@
 }
 
 impl Limit {
-    /// Applies what the server said at `said`, unless something newer is known. Returns whether peers should
-    /// be told at once.
+    /// Applies what the server said at `said`, unless something newer is known. Returns whether the change
+    /// should be reported to peers at once.
     pub fn update(&mut self, rate: Option<f64>, said: Instant, now: Instant) -> bool {
         if self.reported_at.is_some_and(|known| said <= known) {
             return false;
@@ -199,7 +199,7 @@
         self.quota = self.quota.map(|quota| quota + 1.0);
     }
 
-    /// What peers should be told about this limit.
+    /// What to report to peers about this limit.
     pub fn for_peers(&self, now: Instant) -> Option<LimitReport> {
         let over = |at: Instant| now.saturating_duration_since(at) < ENDED_REPORT_TIME;
         let matters = self.rate.is_some() || self.ended.is_some_and(over);
