--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -42,8 +42,8 @@
 }
 
 impl ServerRecord {
-    /// The tag of this start of the server. It differs from start to start, so that reports of peers about an
-    /// earlier start don't apply to this one.
+    /// The tag of this server process. It differs after each restart, so that reports of peers about an earlier
+    /// process of the server don't apply to this one.
     pub(super) fn tag(&self) -> Tag {
         let id = Tag::of(&self.id);
         self.started_ms.map_or(id, |born| id.combined_with(Tag::of_number(born)))
@@ -106,13 +106,13 @@
 pub struct Server {
     /// Its entry in the store.
     pub record: ServerRecord,
-    /// The tag of its start.
+    /// The tag of its process.
     pub(super) tag: Tag,
     /// Whether its entry in the store can be read; no new work is sent to it otherwise.
     pub(super) readable: bool,
     /// Whether it is treated as leaving only because the store no longer lists it.
     pub(super) unlisted: bool,
-    /// Whether it is treated as leaving only because a roll-out retires its version.
+    /// Whether it is treated as leaving only because a rollout retires its version.
     retired: bool,
     /// Work that this daemon has there.
     pub own_load: Load,
@@ -175,7 +175,7 @@
         self.readable && !*self.leaving.borrow()
     }
 
-    /// The tag of this start of the server.
+    /// The tag of this server process.
     pub fn tag(&self) -> Tag {
         self.tag
     }
@@ -224,7 +224,7 @@
         self.reach.is_skipped(now)
     }
 
-    /// Whether it is leaving for certain, rather than suspected or retired by a roll-out.
+    /// Whether it is leaving for certain, rather than suspected or retired by a rollout.
     pub(super) fn is_known_to_leave(&self) -> bool {
         *self.leaving.borrow() && self.suspected.is_none() && !self.retired
     }
@@ -234,7 +234,7 @@
         self.is_known_to_leave() && !self.record.leaving
     }
 
-    /// Applies that a roll-out has retired its version or put it back into use.
+    /// Applies that a rollout has retired its version or put it back into use.
     pub(super) fn set_retired(&mut self, retired: bool) {
         if retired && !self.retired && !self.is_known_to_leave() {
             (self.retired, self.suspected) = (true, None);
