--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -20,18 +20,18 @@
 use tidestair::gateway::fingerprint::Fingerprint;
 use tidestair::gateway::heartbeat::{DaemonStats, Heartbeat, Origin, Sum};
 use tidestair::gateway::mirror::Mirror;
-use tidestair::gateway::partner::{Pace, Relation};
+use tidestair::gateway::partner::{Relation, SumSchedule};
 use tidestair::gateway::place::{
-    ALIKE, Candidate, Headroom, PlacementRequest, Placing, UNSEEN_COST,
+    COST_TOLERANCE, Candidate, Headroom, PlacementPolicy, PlacementRequest, STALE_REMOTE_HALL_COST,
 };
 use tidestair::gateway::port::{Change, Entry};
-use tidestair::gateway::quarantine::{Quarantine, Run};
+use tidestair::gateway::quarantine::{Quarantine, RunProgress};
 use tidestair::gateway::regions::Regions;
 use tidestair::gateway::roster::{Daemon, Listing, Roster};
 use tidestair::gateway::servers::{Load, Observations, ServerRecord, Servers};
 use tidestair::gateway::table::Engine;
 use tidestair::gateway::tag::Tag;
-use tidestair::gateway::view::{Own, View};
+use tidestair::gateway::view::{OwnState, View};
 use tidestair::message;
 use tidestair::platform::Position;
 
@@ -50,11 +50,17 @@
     token_bytes: 131_072,
     link_mbps: 19_000.0,
     event_tokens: 4,
-    moves: true,
-    backups: true,
+    supports_moves: true,
+    supports_backups: true,
 };
 
-const LOAD: Load = Load { runs: 1, tokens: 3_700, reading: 3_000, once: 3_700, arriving: 0 };
+const LOAD: Load = Load {
+    runs: 1,
+    tokens: 3_700,
+    unread_prompt: 3_000,
+    non_repeatable: 3_700,
+    incoming_copies: 0,
+};
 
 fn main() {
     if std::env::args().any(|a| a == "--test") {
@@ -70,7 +76,7 @@
         let known = servers_of(servers, halls);
         note("choice", choice(&known));
         note("own_words", own_words(&known));
-        note("watched", micros(50, || drop(black_box(known.watched(Instant::now())))));
+        note("watched", micros(50, || drop(black_box(known.health_check_targets(Instant::now())))));
         copy(halls, daemons, servers, &mut note);
         hearing(halls, daemons, servers, known, &mut note);
     }
@@ -95,11 +101,11 @@
     let (mut quarantine, now) = (Quarantine::default(), Instant::now());
     let requests = (0..256u64).map(|n| Fingerprint::new("/path", "caller", &n.to_be_bytes()));
     for request in requests {
-        quarantine.ended(request, Tag::number(1), Run::Unseen, now);
+        quarantine.record_ended(request, Tag::of_number(1), RunProgress::NoEvents, now);
     }
     let others = quarantine.for_peers(now).into_iter().collect();
     micros(20_000, || {
-        quarantine.set_others(&others, now);
+        quarantine.set_peer_reports(&others, now);
         black_box(quarantine.for_peers(now));
     })
 }
@@ -121,7 +127,7 @@
     for n in 0..count {
         let record = ServerRecord {
             id: id(n).into(),
-            born: None,
+            started_ms: None,
             service: "model".into(),
             version: "v1".into(),
             addr: SocketAddr::from(([10, 9, (n / 250) as u8, (n % 250) as u8], 80)),
@@ -134,8 +140,8 @@
     }
     for n in 0..OWN.min(count) {
         let key = servers.find(&id(n)).expect("it was added");
-        servers.begin(key, LOAD);
-        servers.judge(key, n == 0, now);
+        servers.add_load(key, LOAD);
+        servers.record_outcome(key, n == 0, now);
     }
     servers
 }
@@ -145,7 +151,8 @@
 fn copy(halls: usize, daemons: usize, servers: usize, note: &mut impl FnMut(&str, f64)) {
     let now = Instant::now();
     let budget = BudgetBounds { ratio: 0.2, slack: 1.0, window: Duration::from_secs(1) };
-    let bounds = Bounds { revoke: None, budget, cold: ColdBounds::default(), exposure: 0.1 };
+    let bounds =
+        Bounds { revocation_delay: None, budget, cold: ColdBounds::default(), exposure: 0.1 };
     let (wire, placing) = (Arc::new(NoWire), Box::new(Headroom));
     let gateway = Gateway::new("hall-0", Regions::default(), bounds, wire, placing, now);
     let roster = Arc::new(Roster::new(daemon(halls, 0)));
@@ -167,7 +174,10 @@
     let began = Instant::now();
     mirror.replace(all, position, now, now);
     note("start_copy", began.elapsed().as_secs_f64() * 1e6);
-    note("give_all", micros(5, || drop(black_box(mirror.all_after(Position::START, now)))));
+    note(
+        "give_all",
+        micros(5, || drop(black_box(mirror.complete_update_after(Position::START, now)))),
+    );
     let change = |n: u64| Change {
         key: format!("servers/{}", n % 50),
         value: Some(if n.is_multiple_of(2) { b"leaving".to_vec() } else { b"ready".to_vec() }),
@@ -179,7 +189,7 @@
         mirror.advance(vec![change(n)], after(n), now, now);
     });
     note("take_change", changed);
-    note("give_changes", micros(50, || drop(black_box(mirror.update_after(after(48), now)))));
+    note("give_changes", micros(50, || drop(black_box(mirror.small_update_after(after(48), now)))));
     note("roster", micros(50, || drop(black_box(roster.listing()))));
 }
 
@@ -205,7 +215,7 @@
     reader.replace(entries, after, now, now);
     note("return_read", began.elapsed().as_secs_f64() * 1e6);
     let began = Instant::now();
-    let update = reader.update_after(peer.position(), now).expect("it has read");
+    let update = reader.small_update_after(peer.position(), now).expect("it has read");
     note("return_given", began.elapsed().as_secs_f64() * 1e6);
     note("return_bytes", message::encode(&update).len() as f64);
     let began = Instant::now();
@@ -216,9 +226,9 @@
 fn choice(servers: &Servers) -> f64 {
     let need = PlacementRequest {
         hall: "hall-0",
-        far: UNSEEN_COST,
-        alike: ALIKE,
-        unseen: 2.0,
+        remote_cost: STALE_REMOTE_HALL_COST,
+        cost_tolerance: COST_TOLERANCE,
+        unreported_requests: 2.0,
         load: LOAD,
         engine: Some(&ENGINE),
     };
@@ -226,7 +236,7 @@
     micros(500, || {
         let now = Instant::now();
         let drawn = match servers.count("model") > DRAWN {
-            true => servers.draw("model", "hall-0", DRAWN, &mut rng),
+            true => servers.sample("model", "hall-0", DRAWN, &mut rng),
             false => servers.open("model").collect(),
         };
         let drawn = drawn.into_iter().filter(|(_, server)| servers.is_open("model", server));
@@ -273,30 +283,30 @@
     now: Instant,
 ) -> Heartbeat {
     let clock = view.clock();
-    let echo = Echo { boot: clock.boot(), stamp: clock.stamp(now), held: 0 };
+    let echo = Echo { boot: clock.boot(), stamp: clock.stamp(now), held_us: 0 };
     Heartbeat {
         daemon: from.clone(),
         boot: 1,
         stamp,
         echo: Some(echo),
         ready: true,
-        pause_ms: 250,
-        chosen: true,
+        interval_ms: 250,
+        expects_reply: true,
         copy_status: None,
-        read_ms: None,
-        failed_ms: None,
+        store_read_age_ms: None,
+        store_failure_age_ms: None,
         cell: cell_of(from, view),
         stats: told,
         sums,
         observations: Observations::default(),
-        others: Vec::new(),
+        peer_addrs: Vec::new(),
     }
 }
 
 fn cell_of(from: &Daemon, view: &View) -> CellId {
-    let other = View::new(from.clone(), Clock::new(2, Instant::now())).layout().own;
+    let other = View::new(from.clone(), Clock::new(2, Instant::now())).layout().own_cell;
     let layout = view.layout();
-    if layout.near.contains(&from.peers) { layout.own } else { other }
+    if layout.cell_peers.contains(&from.peers) { layout.own_cell } else { other }
 }
 
 fn hearing(
@@ -312,16 +322,16 @@
     let mut view = View::new(own.clone(), Clock::new(7, now - Duration::from_secs(10)));
     let divide = || {
         let listing = Listing::new(others.clone());
-        view.divide(&listing, |_| None, Instant::now());
+        view.update_layout(&listing, |_| None, Instant::now());
     };
     note("divide", micros(20, divide));
     let near: Vec<&Daemon> =
-        others.iter().filter(|d| view.layout().near.contains(&d.peers)).collect();
+        others.iter().filter(|d| view.layout().cell_peers.contains(&d.peers)).collect();
     let far = daemons - near.len() - 1;
     let sum = Sum {
         origin: Origin::OtherHalls,
-        maker: 3,
-        made: 1,
+        boot: 3,
+        stamp: 1,
         age_ms: 10,
         members: Vec::new(),
         daemons: far as u32,
@@ -331,18 +341,18 @@
     for (n, peer) in near.iter().enumerate() {
         let sums = if n == 0 { vec![sum.clone()] } else { Vec::new() };
         let heartbeat = heartbeat(peer, &view, told(n, 1, servers), sums, 1, now);
-        view.note(&heartbeat, Instant::now());
+        view.on_heartbeat(&heartbeat, Instant::now());
     }
     let heard = micros(100, || {
         let heard = view.peer_stats(Instant::now());
-        known.set_others(black_box(&heard));
+        known.set_peer_stats(black_box(&heard));
     });
     note("hear", heard);
-    let own = Own { stats: told(0, 1, servers), ready: true };
+    let own = OwnState { stats: told(0, 1, servers), ready: true };
     let to = near[0].peers;
     let send = micros(200, || {
-        let (mut pace, now) = (Pace::default(), Instant::now());
-        let heartbeat = view.heartbeat(to, Relation::Near, own.clone(), &mut pace, now);
+        let (mut pace, now) = (SumSchedule::default(), Instant::now());
+        let heartbeat = view.heartbeat(to, Relation::SameCell, own.clone(), &mut pace, now);
         black_box(message::encode(&heartbeat));
     });
     note("send", send);
--- a/src/gateway/cluster.rs
+++ b/src/gateway/cluster.rs
@@ -1,32 +1,32 @@
-//! Talking with the other daemons: who they are, how current their copies of the store are, and
-//! what they have running where.
+//! Communication with the other daemons: which of them exist, how current their copies of the store
+//! are, and which load they put on each server.
 //!
-//! Nothing rests on one daemon and nothing is agreed upon. A heartbeat carries the sender's clock
-//! and returns the receiver's, so that each statement in it is known to have been true at a moment
-//! of the receiver's own clock, however long it was on the way. Within a [cell](crate::gateway::cell)
-//! heartbeats come several times a second and as soon as a load changes; between cells and halls, relays
-//! tell sums.
+//! No daemon is essential, and no consensus is needed. A heartbeat carries the sender's clock and
+//! echoes the receiver's, so that the receiver can date each report in it on its own clock,
+//! however long the message was under way. Within a [cell](crate::gateway::cell), heartbeats are
+//! sent several times a second and as soon as a load changes. Between cells and halls, relays
+//! exchange sums.
 
 mod answering;
 mod quota;
 
 use crate::error::Result;
-use crate::gateway::clock::{Clock, before, millis};
-use crate::gateway::core::{Gateway, Hearing, Wanted};
+use crate::gateway::clock::{Clock, millis_between, minus_millis};
+use crate::gateway::core::{Gateway, LimitedServer, PeerSource};
 use crate::gateway::heartbeat::{DaemonStats, Heartbeat, Request};
 use crate::gateway::metrics::GatewayMetrics;
 use crate::gateway::mirror::Mirror;
-use crate::gateway::partner::{Pace, Relation, Stretch};
+use crate::gateway::partner::{IntervalScale, Relation, SumSchedule};
 use crate::gateway::roster::Roster;
 use crate::gateway::servers::{Load, PeerStats};
 use crate::gateway::start;
 use crate::gateway::tag::Tag;
-use crate::gateway::update::{Lack, Update};
-use crate::gateway::view::{Own, View};
+use crate::gateway::update::{Missing, Update};
+use crate::gateway::view::{OwnState, View};
 use crate::peer::{Handler, LinkLimits, Peers};
 use crate::time;
 use crate::tls::Identity;
-use answering::Answering;
+use answering::PeerHandler;
 use futures_util::future::BoxFuture;
 use log::warn;
 use rand::RngExt;
@@ -38,73 +38,80 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::time::sleep;
 
-/// Least time between two heartbeats to one daemon for changes of load: changes that come together
-/// are told together.
-const SPACING: Duration = Duration::from_millis(40);
-/// Time between two looks at whether the fleet is to be divided otherwise, and for daemons to be greeted.
-const DIVIDE: Duration = Duration::from_millis(100);
-/// The same where heartbeats come seldom.
-const DIVIDE_SELDOM: Duration = Duration::from_millis(300);
-/// Age of the last read of the store by any daemon up to which the others need not read it.
-const READ_LATELY: Duration = Duration::from_millis(700);
-/// What a daemon waits longer for each one that reads before it.
+/// Minimum time between two heartbeats to the same daemon for changes of load: changes that follow
+/// each other closely share one heartbeat.
+const LOAD_UPDATE_INTERVAL: Duration = Duration::from_millis(40);
+/// Interval at which the division into cells and the set of heartbeat targets are updated.
+const LAYOUT_INTERVAL: Duration = Duration::from_millis(100);
+/// The same while heartbeats are infrequent.
+const IDLE_LAYOUT_INTERVAL: Duration = Duration::from_millis(300);
+/// While the last read of the store by any daemon is no older than this, the other daemons don't
+/// read it.
+const RECENT_READ: Duration = Duration::from_millis(700);
+/// Additional wait of a daemon for each daemon that reads before it.
 const READ_STEP: Duration = Duration::from_millis(120);
-/// Longest that a daemon waits for those before it: a fleet whose first readers are cut off from the
-/// store still reads within two seconds.
-const LONGEST_TURN: Duration = Duration::from_millis(1_000);
-/// Time that news of a read takes through other cells: a heartbeat between cells and one within.
+/// Maximum additional wait: if the first readers of a fleet are cut off from the store, another
+/// daemon still reads within two seconds.
+const MAX_READ_DELAY: Duration = Duration::from_millis(1_000);
+/// Time for the report of a read to arrive from other cells: one heartbeat between cells and one
+/// within the cell.
 const REPORT_DELAY: Duration = Duration::from_millis(550);
-/// Time after which a daemon that knows that its copy is behind reads the store itself: its peers
-/// may have no bandwidth for a large change.
-const BEHIND: Duration = Duration::from_millis(250);
-/// Time from a daemon's start within which the store, or a peer that knows it, tells who the others are.
-const FIRST_READ: Duration = Duration::from_millis(1_000);
-/// Time for which an address that nobody answers at is greeted, where other daemons are heard.
-const STRANGER: Duration = Duration::from_secs(10);
-/// Longest time for a peer to begin to give what this daemon lacks, and longest pause within it. A whole copy takes as
-/// long as the links need.
-const FETCH_LIMIT: Duration = Duration::from_millis(400);
-/// Updates given at a time; further askers get none and try another daemon or the store. Large ones
-/// fill the link of a small VM.
-const MOST_GIVEN: usize = 3;
-/// Links are given up soon after their peer falls silent, and made anew when it is back.
-const LINKS: LinkLimits = LinkLimits { idle_ms: 2_000, streams: 32 };
-
-/// See the module.
+/// Time after which a daemon whose copy is known to be behind reads the store itself: its peers may
+/// lack the bandwidth for a large change.
+const MAX_BEHIND: Duration = Duration::from_millis(250);
+/// After this time from its start, a daemon that has reached no peer tries the seeds. Before, the
+/// store or a peer that knows the store usually names the other daemons.
+const SEED_DELAY: Duration = Duration::from_millis(1_000);
+/// How long heartbeats are sent to an address that nobody answers at, if other daemons are
+/// reachable.
+const UNKNOWN_PEER_LIFETIME: Duration = Duration::from_secs(10);
+/// Timeout for a peer to start sending the missing changes, and for each gap within the transfer. A
+/// complete copy takes as long as the links need.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(400);
+/// Maximum number of updates that are sent at once; further requests get an empty answer and go to
+/// another daemon or to the store. Large updates fill the link of a small VM.
+const MAX_CONCURRENT_UPDATES: usize = 3;
+/// Connections are closed soon after their peer becomes silent, and opened again when it is back.
+const LINK_LIMITS: LinkLimits = LinkLimits { idle_ms: 2_000, streams: 32 };
+
+/// Exchanges heartbeats, copies of the store and quota with the other daemons.
 pub struct Cluster {
-    own: Weak<Cluster>,
+    weak_self: Weak<Cluster>,
     gateway: Arc<Gateway>,
     mirror: Arc<Mirror>,
     roster: Arc<Roster>,
     links: Arc<Peers>,
     view: Mutex<View>,
-    /// Addresses from the settings that are tried for first contact.
+    /// Addresses from the settings for first contact.
     seeds: Mutex<Vec<SocketAddr>>,
-    /// Addresses that heartbeats named since the last look.
-    named: Mutex<Vec<SocketAddr>>,
-    /// Daemons that have a task, and since when.
-    greeted: Mutex<HashMap<SocketAddr, Instant>>,
+    /// Addresses from heartbeats since the last call of `heartbeat_targets`.
+    announced: Mutex<Vec<SocketAddr>>,
+    /// Daemons with a running heartbeat task, and when it started.
+    peer_tasks: Mutex<HashMap<SocketAddr, Instant>>,
+    /// Whether this daemon accepts callers.
     ready: Box<dyn Fn() -> bool + Send + Sync>,
-    /// Whether anything was heard since it was last added up.
-    unheard: AtomicBool,
+    /// Whether any peer's figures changed or expired since they were last summed up.
+    stats_changed: AtomicBool,
+    /// Whether changes are being fetched from a peer.
     fetching: AtomicBool,
-    /// Whether this daemon last asked the store in vain.
-    in_vain: AtomicBool,
+    /// Whether this daemon's last read of the store failed.
+    last_read_failed: AtomicBool,
     /// When this daemon last read the store.
     own_read: Mutex<Option<Instant>>,
     /// Since when this copy is known to be behind.
-    behind: Mutex<Option<Instant>>,
-    giving: Semaphore,
+    behind_since: Mutex<Option<Instant>>,
+    /// Permits to send large updates to peers.
+    update_permits: Semaphore,
 }
 
 impl Cluster {
     /// Listens for peers.
     pub fn listen(addr: SocketAddr, gateway: &Gateway) -> Result<Peers> {
         let identity = Identity::unauthenticated()?;
-        Peers::bind(addr, &identity, LINKS, gateway.metrics.traffic.clone())
+        Peers::bind(addr, &identity, LINK_LIMITS, gateway.metrics.traffic.clone())
     }
 
-    /// A cluster of this daemon alone, until it [`runs`](Cluster::run).
+    /// Creates a cluster that consists of this daemon alone until [`run`](Cluster::run) is called.
     pub fn new(
         gateway: Arc<Gateway>,
         mirror: Arc<Mirror>,
@@ -114,60 +121,61 @@
     ) -> Arc<Cluster> {
         let clock = Clock::new(rand::rng().random(), time::now());
         let view = View::new(roster.own().clone(), clock);
-        let cluster = Arc::new_cyclic(|own| Cluster {
-            own: own.clone(),
+        let cluster = Arc::new_cyclic(|weak| Cluster {
+            weak_self: weak.clone(),
             gateway,
             mirror,
             roster,
             links: Arc::new(links),
             view: Mutex::new(view),
             seeds: Mutex::default(),
-            named: Mutex::default(),
-            greeted: Mutex::default(),
+            announced: Mutex::default(),
+            peer_tasks: Mutex::default(),
             ready,
-            unheard: AtomicBool::new(true),
+            stats_changed: AtomicBool::new(true),
             fetching: AtomicBool::new(false),
-            in_vain: AtomicBool::new(false),
+            last_read_failed: AtomicBool::new(false),
             own_read: Mutex::default(),
-            behind: Mutex::default(),
-            giving: Semaphore::new(MOST_GIVEN),
+            behind_since: Mutex::default(),
+            update_permits: Semaphore::new(MAX_CONCURRENT_UPDATES),
         });
-        let hearing = Arc::downgrade(&cluster);
-        cluster.gateway.hear_from(hearing);
+        let weak = Arc::downgrade(&cluster);
+        cluster.gateway.set_peer_source(weak);
         cluster
     }
 
-    /// The gateway's counters.
+    /// The gateway's metrics.
     pub fn metrics(&self) -> &GatewayMetrics {
         &self.gateway.metrics
     }
 
-    /// Sets the addresses that are tried for first contact.
+    /// Sets the addresses for first contact.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         *self.seeds.lock().expect("no holder panics") = seeds;
     }
 
-    /// Talks with peers until the process ends.
+    /// Exchanges messages with peers until the process ends.
     pub async fn run(self: Arc<Self>) {
         tokio::spawn(self.links.clone().serve(self.handler()));
         loop {
-            self.mirror.tick(time::now());
-            self.divide(time::now());
-            for addr in self.wanted(time::now()) {
-                self.greet(addr);
+            self.mirror.expire(time::now());
+            self.refresh_layout(time::now());
+            for addr in self.heartbeat_targets(time::now()) {
+                self.spawn_peer_task(addr);
             }
-            let seldom = self.view().spacing(SPACING) > DIVIDE_SELDOM;
-            sleep(if seldom { DIVIDE_SELDOM } else { DIVIDE }).await;
+            let seldom = self.view().spacing(LOAD_UPDATE_INTERVAL) > IDLE_LAYOUT_INTERVAL;
+            sleep(if seldom { IDLE_LAYOUT_INTERVAL } else { LAYOUT_INTERVAL }).await;
         }
     }
 
-    /// The side that answers peers.
+    /// The handler for messages from peers.
     fn handler(self: &Arc<Self>) -> Arc<dyn Handler> {
-        Arc::new(Answering(self.clone()))
+        Arc::new(PeerHandler(self.clone()))
     }
 
-    /// Whether this daemon should read the store now: no daemon did lately, or what it lacks was
-    /// not given to it by one that has it. Where others ask in vain, daemons join them one by one.
+    /// Whether this daemon should read the store now: either no daemon has read it recently, or the
+    /// peer that is ahead has not delivered the missing changes. If the reads of other daemons
+    /// fail, further daemons start to read one after the other.
     pub fn should_read(&self, now: Instant) -> bool {
         if self.is_behind(now) {
             return true;
@@ -177,16 +185,16 @@
         if before == 0 {
             return true;
         }
-        let read = view.read();
+        let read = view.last_store_read();
         if self.mirror.last_failure().is_some_and(|failed| Some(failed) > read) {
             let since = read.unwrap_or(view.clock().started());
-            let turn = READ_STEP.saturating_mul(view.knock_turn(self.roster.count()));
-            return now.saturating_duration_since(since) > READ_LATELY + turn;
+            let turn = READ_STEP.saturating_mul(view.store_retry_turn(self.roster.count_others()));
+            return now.saturating_duration_since(since) > RECENT_READ + turn;
         }
         let turn = READ_STEP.saturating_mul(u32::try_from(before).unwrap_or(u32::MAX));
         let report_delay = if view.layout().divided { REPORT_DELAY } else { Duration::ZERO };
-        let lately = READ_LATELY + report_delay + turn.min(LONGEST_TURN);
-        read.is_none_or(|read| now.saturating_duration_since(read) > lately)
+        let max_age = RECENT_READ + report_delay + turn.min(MAX_READ_DELAY);
+        read.is_none_or(|read| now.saturating_duration_since(read) > max_age)
     }
 
     /// The hall of this daemon.
@@ -194,67 +202,69 @@
         &self.roster.own().hall
     }
 
-    /// How long this daemon, which starts, waits for a peer's copy of the store.
-    pub fn start_wait(&self) -> Duration {
+    /// How long this daemon waits for a peer's copy of the store when it starts.
+    pub fn startup_wait(&self) -> Duration {
         start::wait(self.roster.own(), &self.roster.listing().0.daemons)
     }
 
-    /// How long this daemon need not look again whether it should read: what others read lately is known.
-    pub fn unread_for(&self, now: Instant) -> Duration {
-        let read = self.view().read();
-        let left = read.map(|at| (at + READ_LATELY).saturating_duration_since(now));
-        left.unwrap_or_default().min(BEHIND)
+    /// How long [`should_read`](Cluster::should_read) needn't be checked again, given the last read
+    /// by any daemon.
+    pub fn time_to_next_read_check(&self, now: Instant) -> Duration {
+        let read = self.view().last_store_read();
+        let left = read.map(|at| (at + RECENT_READ).saturating_duration_since(now));
+        left.unwrap_or_default().min(MAX_BEHIND)
     }
 
-    /// How many daemons are to read the store before this one.
+    /// How many daemons precede this one in the order of reading the store.
     pub fn readers_before(&self, now: Instant) -> usize {
         self.view().readers_before(now)
     }
 
-    /// Notes that this daemon has read the store.
-    pub fn has_read(&self, now: Instant) {
-        self.view().has_read(Some(now));
+    /// Records a read of the store by this daemon.
+    pub fn note_store_read(&self, now: Instant) {
+        self.view().note_store_read(Some(now));
         *self.own_read.lock().expect("no holder panics") = Some(now);
-        self.in_vain.store(false, Ordering::Release);
-        *self.behind.lock().expect("no holder panics") = None;
+        self.last_read_failed.store(false, Ordering::Release);
+        *self.behind_since.lock().expect("no holder panics") = None;
     }
 
-    /// Notes that this daemon asked the store in vain.
-    pub fn has_failed(&self, now: Instant) {
-        self.in_vain.store(true, Ordering::Release);
+    /// Records a failed read of the store by this daemon.
+    pub fn note_store_failure(&self, now: Instant) {
+        self.last_read_failed.store(true, Ordering::Release);
         self.mirror.store_failed(now);
     }
 
-    /// Where callers may be sent, this daemon not among them.
+    /// Addresses of other daemons for callers.
     pub fn entries(&self, now: Instant) -> Vec<SocketAddr> {
         self.view().entries(now)
     }
 
-    /// Where callers may be sent in other cells and halls.
-    pub fn far_entries(&self, now: Instant) -> Vec<SocketAddr> {
-        self.view().far_entries(now)
+    /// Addresses for callers in other cells and halls.
+    pub fn remote_entries(&self, now: Instant) -> Vec<SocketAddr> {
+        self.view().remote_entries(now)
     }
 
-    /// Divides the fleet anew and takes over what the others have running and have spent.
-    fn divide(&self, now: Instant) {
+    /// Updates the division into cells, and passes the other daemons' figures to the gateway and
+    /// its metrics.
+    fn refresh_layout(&self, now: Instant) {
         let (listing, rank) = self.roster.listing();
         let count = listing.daemons.len();
-        let stretch = Stretch::of(self.gateway.request_gap(now));
-        let greeted = self.greeted.lock().expect("no holder panics").clone();
+        let interval_scale = IntervalScale::of(self.gateway.request_gap(now));
+        let tasks = self.peer_tasks.lock().expect("no holder panics").clone();
         let mut view = self.view();
-        view.divide(&listing, |addr| greeted.get(&addr).copied(), now);
-        view.set_stretch(stretch);
+        view.update_layout(&listing, |addr| tasks.get(&addr).copied(), now);
+        view.set_interval_scale(interval_scale);
         self.gateway.metrics.peers.set(view.count(now) as i64);
         self.gateway.set_others(view.spent(count, now));
         self.gateway.set_divided(view.layout().divided);
-        self.gateway.set_late(view.late_share(now));
+        self.gateway.set_delayed_share(view.summarized_fraction(now));
         self.gateway.set_rank(rank);
         drop(view);
-        // What was not told again in time no longer counts.
-        self.unheard.store(true, Ordering::Release);
+        // Loads that were not reported again in time have expired, so the sums may have changed.
+        self.stats_changed.store(true, Ordering::Release);
         let (limited, backing_off) = {
             let mut servers = self.gateway.servers();
-            servers.tidy(now);
+            servers.prune(now);
             (servers.count_limited(), servers.count_backing_off())
         };
         let metrics = self.metrics();
@@ -262,8 +272,8 @@
         metrics.resting_servers.set(backing_off as i64);
     }
 
-    /// Daemons that this one sends heartbeats to.
-    fn wanted(&self, now: Instant) -> Vec<SocketAddr> {
+    /// Addresses of the daemons that this one sends heartbeats to.
+    fn heartbeat_targets(&self, now: Instant) -> Vec<SocketAddr> {
         let view = self.view();
         let mut wanted = view.partners(now);
         let unknown = |addr: &SocketAddr| self.is_unknown(&view, *addr);
@@ -271,91 +281,102 @@
             let seeds = self.seeds.lock().expect("no holder panics");
             wanted.extend(seeds.iter().copied().filter(unknown));
         }
-        let mut named = self.named.lock().expect("no holder panics");
-        wanted.extend(named.drain(..).filter(unknown));
+        let mut announced = self.announced.lock().expect("no holder panics");
+        wanted.extend(announced.drain(..).filter(unknown));
         wanted
     }
 
-    /// Whether this daemon has no other way to its peers than the few addresses that all daemons know: a fleet that
-    /// greets them has a connection of each daemon there.
+    /// Whether the seeds are the only way to reach peers. They are not used otherwise: all daemons
+    /// know the same few addresses, and each would keep a connection to them.
     fn needs_seeds(&self, view: &View, now: Instant) -> bool {
-        let waited = now.saturating_duration_since(view.clock().started()) >= FIRST_READ;
+        let waited = now.saturating_duration_since(view.clock().started()) >= SEED_DELAY;
         waited && view.count(now) == 0
     }
 
-    /// What a daemon is to this one; `None` where no heartbeats are due to it.
+    /// This daemon's relation to another one; `None` if it sends no heartbeats to it.
     fn relation(&self, addr: SocketAddr, now: Instant) -> Option<Relation> {
         let view = self.view();
-        let stranger = || {
-            let greeted = self.greeted.lock().expect("no holder panics").get(&addr).copied();
-            let lately = greeted.is_none_or(|at| now.saturating_duration_since(at) < STRANGER);
-            let is_met = lately || self.needs_seeds(&view, now);
-            (is_met && self.is_unknown(&view, addr)).then_some(Relation::Unknown)
+        let unknown_peer = || {
+            let started = self.peer_tasks.lock().expect("no holder panics").get(&addr).copied();
+            let is_recent =
+                started.is_none_or(|at| now.saturating_duration_since(at) < UNKNOWN_PEER_LIFETIME);
+            let is_due = is_recent || self.needs_seeds(&view, now);
+            (is_due && self.is_unknown(&view, addr)).then_some(Relation::Unknown)
         };
-        view.relation(addr, now).or_else(stranger)
+        view.relation(addr, now).or_else(unknown_peer)
     }
 
-    /// Whether an address is neither listed by the store nor heard.
+    /// Whether an address is neither listed in the store nor known from heartbeats.
     fn is_unknown(&self, view: &View, addr: SocketAddr) -> bool {
-        !view.knows(addr) && !self.roster.has_peer(addr)
+        !view.has_peer(addr) && !self.roster.has_peer(addr)
     }
 
-    /// One task for each daemon that heartbeats are due to; it ends when they no longer are.
-    fn greet(self: &Arc<Self>, addr: SocketAddr) {
+    /// Starts the task that sends heartbeats to a daemon. It ends when none are due any more.
+    fn spawn_peer_task(self: &Arc<Self>, addr: SocketAddr) {
         if addr == self.roster.own().peers {
             return;
         }
-        let mut greeted = self.greeted.lock().expect("no holder panics");
-        if greeted.contains_key(&addr) {
+        let mut tasks = self.peer_tasks.lock().expect("no holder panics");
+        if tasks.contains_key(&addr) {
             return;
         }
-        greeted.insert(addr, time::now());
-        drop(greeted);
+        tasks.insert(addr, time::now());
+        drop(tasks);
         let cluster = self.clone();
         tokio::spawn(async move {
-            cluster.talk(addr, &cluster.handler()).await;
-            cluster.greeted.lock().expect("no holder panics").remove(&addr);
+            cluster.send_heartbeats(addr, &cluster.handler()).await;
+            cluster.peer_tasks.lock().expect("no holder panics").remove(&addr);
         });
     }
 
-    async fn talk(self: &Arc<Self>, addr: SocketAddr, handler: &Arc<dyn Handler>) {
-        let (mut news, mut loads) = (self.gateway.urgent_changes(), self.gateway.load_changes());
+    async fn send_heartbeats(self: &Arc<Self>, addr: SocketAddr, handler: &Arc<dyn Handler>) {
+        let (mut urgent, mut loads) = (self.gateway.urgent_changes(), self.gateway.load_changes());
         let mut copy = self.gateway.copy_changes();
-        let mut pace = Pace::default();
+        let mut schedule = SumSchedule::default();
         loop {
             let now = time::now();
             let Some(relation) = self.relation(addr, now) else {
                 return;
             };
-            let heartbeat = self.heartbeat(addr, relation, &mut pace, now);
-            // What changes from here on is not in this heartbeat.
-            news.mark_unchanged();
+            let heartbeat = self.heartbeat(addr, relation, &mut schedule, now);
+            // Later changes are not in this heartbeat.
+            urgent.mark_unchanged();
             loads.mark_unchanged();
             copy.mark_unchanged();
             self.links.tell(addr, &heartbeat, handler).await;
-            let (heard, pause, spacing, forwards) = {
+            let (is_reachable, interval, spacing, forwards) = {
                 let (view, now) = (self.view(), time::now());
-                let heard = view.hears(addr, now);
-                let (pause, spacing) = (view.pause(addr, relation, now), view.spacing(SPACING));
-                (heard, pause, spacing, heard && self.forwards(&view, now))
+                let is_reachable = view.can_reach(addr, now);
+                let (interval, spacing) = (
+                    view.heartbeat_interval(addr, relation, now),
+                    view.spacing(LOAD_UPDATE_INTERVAL),
+                );
+                (
+                    is_reachable,
+                    interval,
+                    spacing,
+                    is_reachable && self.forwards_store_changes(&view, now),
+                )
             };
-            let pause = pause.mul_f64(rand::rng().random_range(0.9..1.1));
-            let near = heard && relation == Relation::Near && spacing < pause;
+            let interval = interval.mul_f64(rand::rng().random_range(0.9..1.1));
+            let reports_loads =
+                is_reachable && relation == Relation::SameCell && spacing < interval;
             tokio::select! {
-                () = sleep(pause) => {}
-                // News goes out at once.
-                told = news.changed(), if heard => if told.is_err() { return },
-                told = copy.changed(), if forwards => if told.is_err() { return },
-                () = changed_after(&mut loads, now + spacing), if near => {}
+                () = sleep(interval) => {}
+                // Urgent changes are sent at once.
+                result = urgent.changed(), if is_reachable => if result.is_err() { return },
+                result = copy.changed(), if forwards => if result.is_err() { return },
+                () = changed_after(&mut loads, now + spacing), if reports_loads => {}
             }
         }
     }
 
-    /// Whether others hear of changes of the store from this daemon: a relay, one that reads the store, or any of a
-    /// small fleet. All others have them from one of these, as their peers do.
-    fn forwards(&self, view: &View, now: Instant) -> bool {
+    /// Whether this daemon sends changes of the store on at once: a relay, a daemon that reads the
+    /// store, and each daemon of an undivided fleet do. The others learn of changes from one of
+    /// these, as their peers do.
+    fn forwards_store_changes(&self, view: &View, now: Instant) -> bool {
         let layout = view.layout();
-        let reads = |at: Instant| now.saturating_duration_since(at) < READ_LATELY;
+        let reads = |at: Instant| now.saturating_duration_since(at) < RECENT_READ;
         let reads = self.own_read.lock().expect("no holder panics").is_some_and(reads);
         !layout.divided || layout.is_relay() || reads
     }
@@ -364,7 +385,7 @@
         &self,
         to: SocketAddr,
         relation: Relation,
-        pace: &mut Pace,
+        schedule: &mut SumSchedule,
         now: Instant,
     ) -> Heartbeat {
         let mut view = self.view();
@@ -375,109 +396,113 @@
             let servers = self.gateway.servers();
             let (loads, outcomes) = (servers.own_loads(), servers.own_outcomes(now));
             let tallies = rollouts.tallies.into_iter().collect();
-            let orders = rollouts.ages.into_iter().collect();
+            let orders = rollouts.order_ages_ms.into_iter().collect();
             (
-                DaemonStats { loads, spent, outcomes, evidence, tallies, orders },
+                DaemonStats { loads, spent, outcomes, evidence, tallies, rollout_ages: orders },
                 servers.observations(now),
             )
         };
-        let own = Own { stats, ready: (self.ready)() };
+        let own = OwnState { stats, ready: (self.ready)() };
         Heartbeat {
             copy_status: self.mirror.copy_status(now),
-            failed_ms: self.mirror.last_failure().map(|at| millis(at, now)),
+            store_failure_age_ms: self.mirror.last_failure().map(|at| millis_between(at, now)),
             observations,
-            ..view.heartbeat(to, relation, own, pace, now)
+            ..view.heartbeat(to, relation, own, schedule, now)
         }
     }
 
-    fn hear(self: &Arc<Self>, heartbeat: Heartbeat, now: Instant) {
+    fn receive(self: &Arc<Self>, heartbeat: Heartbeat, now: Instant) {
         let from = heartbeat.daemon.peers;
         let sent = {
             let mut view = self.view();
-            view.note(&heartbeat, now);
-            view.clock().sent(heartbeat.echo, now)
+            view.on_heartbeat(&heartbeat, now);
+            view.clock().earliest_send_time(heartbeat.echo, now)
         };
-        self.unheard.store(true, Ordering::Release);
+        self.stats_changed.store(true, Ordering::Release);
         self.gateway.servers().merge_observations(&heartbeat.observations, sent, now);
-        self.hear_of_store(&heartbeat, sent, now);
-        self.named.lock().expect("no holder panics").extend(heartbeat.others);
-        let Some(statement) = heartbeat.copy_status else {
+        self.merge_store_ages(&heartbeat, sent, now);
+        self.announced.lock().expect("no holder panics").extend(heartbeat.peer_addrs);
+        let Some(copy_status) = heartbeat.copy_status else {
             return;
         };
-        let seen = sent.and_then(|sent| before(sent, statement.age_ms));
-        let lack = match seen {
-            Some(seen) => self.mirror.hear(statement, seen, now),
-            None => self.mirror.lack(&statement),
+        let confirmed_at = sent.and_then(|sent| minus_millis(sent, copy_status.age_ms));
+        let missing = match confirmed_at {
+            Some(confirmed_at) => self.mirror.receive_status(copy_status, confirmed_at, now),
+            None => self.mirror.missing_against(&copy_status),
         };
-        if lack == Lack::Nothing {
+        if missing == Missing::Nothing {
             return;
         }
-        self.behind.lock().expect("no holder panics").get_or_insert(now);
+        self.behind_since.lock().expect("no holder panics").get_or_insert(now);
         if !self.fetching.swap(true, Ordering::AcqRel) {
-            tokio::spawn(self.clone().fetch(from, lack));
+            tokio::spawn(self.clone().fetch(from, missing));
         }
     }
 
-    /// Takes over when the store was last read, and last asked in vain, as far as a peer knows.
-    fn hear_of_store(&self, heartbeat: &Heartbeat, sent: Option<Instant>, now: Instant) {
-        let at = |ms: u32| sent.and_then(|sent| before(sent, ms));
-        if let Some(failed) = heartbeat.failed_ms.and_then(at) {
+    /// Merges the peer's ages of the last successful and the last failed read of the store.
+    fn merge_store_ages(&self, heartbeat: &Heartbeat, sent: Option<Instant>, now: Instant) {
+        let at = |ms: u32| sent.and_then(|sent| minus_millis(sent, ms));
+        if let Some(failed) = heartbeat.store_failure_age_ms.and_then(at) {
             self.mirror.store_failed(failed);
         }
-        if let Some(read) = heartbeat.read_ms.and_then(at) {
+        if let Some(read) = heartbeat.store_read_age_ms.and_then(at) {
             self.mirror.store_answered(read, now);
         }
     }
 
-    /// Asks a peer for what this copy lacks: small values first, and the large ones too, unless the
-    /// store is being asked for them by now: on a narrow link the two would hold each other up.
-    async fn fetch(self: Arc<Self>, from: SocketAddr, lack: Lack) {
-        let complete = match lack {
-            Lack::Changes => self.take_from(from, Request::After(self.mirror.position())).await,
-            Lack::LargeValues | Lack::Nothing => Some(false),
+    /// Fetches the missing changes from a peer: first the small values, then the large ones. The
+    /// large ones are left out while this daemon reads the store itself, because both transfers
+    /// would slow each other down on a narrow link.
+    async fn fetch(self: Arc<Self>, from: SocketAddr, missing: Missing) {
+        let complete = match missing {
+            Missing::Changes => {
+                self.fetch_from(from, Request::SmallAfter(self.mirror.position())).await
+            }
+            Missing::LargeValues | Missing::Nothing => Some(false),
         };
-        let from_store = self.is_behind(time::now()) && !self.in_vain.load(Ordering::Acquire);
+        let from_store =
+            self.is_behind(time::now()) && !self.last_read_failed.load(Ordering::Acquire);
         if complete == Some(false) && !from_store {
-            self.take_from(from, Request::AllAfter(self.mirror.position())).await;
+            self.fetch_from(from, Request::AllAfter(self.mirror.position())).await;
         }
         self.fetching.store(false, Ordering::Release);
     }
 
-    /// Takes in what a peer gives. Says whether it was all that this copy lacked; `None` where
-    /// nothing came.
-    async fn take_from(self: &Arc<Self>, from: SocketAddr, request: Request) -> Option<bool> {
+    /// Fetches an update from a peer and applies it. Returns whether the update was complete, or
+    /// `None` if the peer sent nothing.
+    async fn fetch_from(self: &Arc<Self>, from: SocketAddr, request: Request) -> Option<bool> {
         let handler = self.handler();
         let asked = time::now();
         let progress = || {
-            // The store is not asked for what a peer is giving.
-            let mut behind = self.behind.lock().expect("no holder panics");
+            // While a peer is sending, the store is not read.
+            let mut behind = self.behind_since.lock().expect("no holder panics");
             *behind = behind.map(|_| time::now());
         };
-        let limits = (FETCH_LIMIT, FETCH_LIMIT);
+        let limits = (FETCH_TIMEOUT, FETCH_TIMEOUT);
         let answer = self
             .links
             .ask_large::<Option<Update>>(from, &request, limits, &handler, progress)
             .await;
-        let Ok(given) = answer else {
-            warn!(peer = from.to_string().as_str(); "peer did not give what it has");
+        let Ok(received) = answer else {
+            warn!(peer = from.to_string().as_str(); "peer did not send the missing changes");
             return None;
         };
-        let update = given?;
-        // Before this process's clock began, nothing can have been seen.
-        let seen = before(asked, update.copy_status.age_ms)
+        let update = received?;
+        // Nothing can have been confirmed before this process's clock started.
+        let confirmed_at = minus_millis(asked, update.copy_status.age_ms)
             .unwrap_or_else(|| self.view().clock().started());
         let complete = update.complete;
-        self.mirror.apply(update, seen, time::now());
+        self.mirror.apply(update, confirmed_at, time::now());
         if complete {
-            *self.behind.lock().expect("no holder panics") = None;
+            *self.behind_since.lock().expect("no holder panics") = None;
         }
         Some(complete)
     }
 
     /// Whether this copy has been behind for so long that the daemon reads the store itself.
     fn is_behind(&self, now: Instant) -> bool {
-        let behind = *self.behind.lock().expect("no holder panics");
-        behind.is_some_and(|since| now.saturating_duration_since(since) > BEHIND)
+        let behind = *self.behind_since.lock().expect("no holder panics");
+        behind.is_some_and(|since| now.saturating_duration_since(since) > MAX_BEHIND)
     }
 
     fn view(&self) -> MutexGuard<'_, View> {
@@ -485,24 +510,24 @@
     }
 }
 
-impl Hearing for Cluster {
+impl PeerSource for Cluster {
     fn peer_stats(&self, now: Instant) -> Option<PeerStats> {
-        self.unheard.swap(false, Ordering::AcqRel).then(|| self.view().peer_stats(now))
+        self.stats_changed.swap(false, Ordering::AcqRel).then(|| self.view().peer_stats(now))
     }
 
-    fn ahead(&self, server: Tag, now: Instant) -> Load {
-        self.view().ahead(server, now)
+    fn higher_ranked_load(&self, server: Tag, now: Instant) -> Load {
+        self.view().higher_ranked_load(server, now)
     }
 
-    fn borrow_quota(&self, wanted: Vec<Wanted>) -> BoxFuture<'_, Option<Tag>> {
+    fn borrow_quota(&self, wanted: Vec<LimitedServer>) -> BoxFuture<'_, Option<Tag>> {
         Box::pin(self.request_quota(wanted))
     }
 }
 
-/// Returns once something has changed, but not before `least`.
+/// Returns after the next change, but not before `least`.
 async fn changed_after(changes: &mut watch::Receiver<u64>, least: Instant) {
     if changes.changed().await.is_err() {
-        // The daemon itself has ended.
+        // The sender was dropped: the daemon is shutting down.
         std::future::pending::<()>().await;
     }
     time::sleep_until(least).await;
--- a/src/gateway/limited.rs
+++ b/src/gateway/limited.rs
@@ -1,8 +1,8 @@
-//! What this daemon hears of servers in need, what it may send them, and what it tells callers for whom there is
-//! no room.
+//! Quota at servers that name a rate limit: admitting requests to them, lending and borrowing between
+//! daemons, and the answer to callers for whom there is no quota.
 
 use crate::gateway::admission::AdmissionClass;
-use crate::gateway::core::{Gateway, Wanted};
+use crate::gateway::core::{Gateway, LimitedServer};
 use crate::gateway::limit::{CellShare, Share};
 use crate::gateway::promises::Quota;
 use crate::gateway::request::Call;
@@ -13,17 +13,18 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Why a request is refused for which only servers in need could have room.
+/// Reason of a refusal where every server that could take the request is limited and out of quota.
 pub(super) const SERVERS_IN_NEED: &str = "servers_in_need";
 
-/// Whether a server takes one more request of this daemon: it names no limit, or the daemon has room there, which
-/// the request `may_use`.
+/// Whether this daemon may send a server one more request: the server has no limit, or the daemon has quota
+/// left and the request `may_use` it.
 pub(super) fn has_quota(server: &Server, may_use: bool) -> bool {
     server.limit().quota().is_none_or(|quota| may_use && quota >= 1.0)
 }
 
 impl Gateway {
-    /// Room at the servers of a service that are in need and may take a request; `None` where there are none.
+    /// Updates and sums the quota at the limited servers of a service that may take a request; `None` where
+    /// there are no such servers.
     pub(super) fn limited_quota(
         &self,
         servers: &mut Servers,
@@ -31,32 +32,33 @@
         may_take: impl Fn(ServerKey, &Server) -> bool,
         now: Instant,
     ) -> Option<Quota> {
-        // Most often there are none, and nothing more is to be done.
+        // Returns early in the common case that no server is limited.
         servers.limited(service).next()?;
         let mut budget = self.budget();
         let (fraction, cell_fraction) =
             (budget.request_fraction(service, now), budget.cell_fraction(service, now));
         let (_, rank) = *self.cold.lock().expect("no holder panics");
-        let near = budget.near();
+        let near = budget.cell_peers();
         let share = |server: Tag| {
-            let (daemons, place) = (near.count(), near.place(server));
-            let cell = CellShare { fraction: cell_fraction, daemons, place };
+            let (daemons, place) = (near.count(), near.rank(server));
+            let cell = CellShare { fraction: cell_fraction, daemons, position: place };
             Share { fraction, phase: rank.phase(server), cell }
         };
-        servers.settle_limits(service, share, now);
+        servers.update_quotas(service, share, now);
         drop(budget);
         let limited = servers.limited(service).filter(|(key, server)| may_take(*key, server));
         limited.fold(None, |quota: Option<Quota>, (_, server)| {
             let (limit, mut quota) = (server.limit(), quota.unwrap_or_default());
             quota.now += limit.quota().unwrap_or_default().max(0.0).floor();
-            quota.pace += limit.pace() * fraction;
-            quota.all += limit.pace();
+            quota.refill_rate += limit.refill_rate() * fraction;
+            quota.total_rate += limit.refill_rate();
             Some(quota)
         })
     }
 
-    /// Whether a request of such a standing may use the room at servers in need.
-    pub(super) fn may_use(
+    /// Whether a request of this class may use quota: newcomers leave what is reserved for callers who come
+    /// back.
+    pub(super) fn may_use_quota(
         &self,
         quota: Quota,
         service: &Arc<str>,
@@ -72,16 +74,21 @@
         }
     }
 
-    /// A request takes room at a server in need.
-    pub(super) fn redeem(&self, service: &Arc<str>, admission_class: AdmissionClass, now: Instant) {
+    /// Ends the reservation of a caller who has come back and now uses quota.
+    pub(super) fn fulfill_promise(
+        &self,
+        service: &Arc<str>,
+        admission_class: AdmissionClass,
+        now: Instant,
+    ) {
         if admission_class == AdmissionClass::Returned
             && let Some(promises) = self.promises().get_mut(service)
         {
-            promises.redeem(now);
+            promises.fulfill_promise(now);
         }
     }
 
-    /// Why a request gets no slot where no server has room, and when there is some.
+    /// Builds the refusal of a request for which no server has quota, with the time at which to retry.
     pub(super) fn no_quota(
         &self,
         quota: Quota,
@@ -92,14 +99,15 @@
         let demand = self.budget().rate(service, now);
         let mut promises = self.promises();
         let promises = promises.entry(service.clone()).or_default();
-        let back = promises.come_back(quota, demand, call.left(now), now);
-        NoSlot { why: SERVERS_IN_NEED, come_back: back.after, due: back.due }
+        let back = promises.retry_advice(quota, demand, call.time_left(now), now);
+        NoSlot { reason: SERVERS_IN_NEED, retry_after: back.after, due: back.due }
     }
 
-    /// Asks other daemons for room for a request that would be refused here. Says whether it was given.
+    /// Asks other daemons for quota for a request that would be refused here. Returns whether one lent it.
     ///
-    /// Where few daemons hold the room of all, it is with them that there is some. Where each one does, some have
-    /// room that they don't use only where less comes to all than the servers in need take.
+    /// Where only some daemons of the cell hold quota, it is worth asking them in any case. Where every
+    /// daemon does, quota is left over only while all requests for the service are fewer than the limited
+    /// servers take.
     pub(super) async fn borrow_quota(
         &self,
         service: &Service,
@@ -108,42 +116,42 @@
         now: Instant,
     ) -> bool {
         let may_take = self.may_take(service, call, tried, now);
-        let daemons = self.budget().near().count();
+        let daemons = self.budget().cell_peers().count();
         let (mut wanted, mut pace) = (Vec::new(), 0.0);
         for (key, server) in self.servers().limited(&service.name) {
             let holders = server.limit().holders();
             if holders > 0 && may_take(key, server) {
-                wanted.push(Wanted { server: server.tag(), holders });
-                pace += server.limit().pace();
+                wanted.push(LimitedServer { server: server.tag(), holders });
+                pace += server.limit().refill_rate();
             }
         }
         let few_hold = wanted.iter().any(|wanted| wanted.holders < daemons);
         let left_over = few_hold || self.budget().rate(&service.name, now) <= pace;
         let worth_asking = !wanted.is_empty() && left_over;
-        let Some(hearing) = self.hearing().filter(|_| worth_asking) else {
+        let Some(hearing) = self.peer_source().filter(|_| worth_asking) else {
             return false;
         };
         let given = hearing.borrow_quota(wanted).await;
         if let Some(server) = given {
-            self.servers().borrowed(server);
+            self.servers().add_borrowed_quota(server);
         }
         given.is_some()
     }
 
-    /// Gives room for one request at one of these servers to a peer, where this daemon has some and has not
-    /// promised it.
+    /// Lends a peer the quota for one request at one of the `wanted` servers. Returns the server; `None`
+    /// where this daemon has no quota, or has reserved it.
     pub(super) fn lend_quota(&self, wanted: &[Tag], now: Instant) -> Option<Tag> {
         let mut servers = self.servers();
-        let service = servers.tagged(*wanted.first()?)?.record.service.clone();
+        let service = servers.get_by_tag(*wanted.first()?)?.record.service.clone();
         let quota = self.limited_quota(&mut servers, &service, |_, _| true, now)?;
-        match self.may_use(quota, &service, AdmissionClass::Newcomer, now) {
+        match self.may_use_quota(quota, &service, AdmissionClass::Newcomer, now) {
             true => servers.lend(wanted),
             false => None,
         }
     }
 
-    /// Keeps room for a caller that is told to come back then.
+    /// Reserves quota for a refused caller that should retry at `due`.
     pub(super) fn reserve_quota(&self, service: &Arc<str>, due: Instant) {
-        self.promises().entry(service.clone()).or_default().keep(due);
+        self.promises().entry(service.clone()).or_default().reserve(due);
     }
 }
--- a/src/gateway/listen.rs
+++ b/src/gateway/listen.rs
@@ -1,4 +1,4 @@
-//! Listening for HTTP requests through the phases of a planned stop.
+//! Accepts HTTP connections, and stops doing so in phases on a graceful shutdown.
 
 use crate::error::{Error, Result};
 use crate::gateway::request::AnswerBody;
@@ -18,139 +18,140 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// The parser's least buffer, in bytes.
-const LEAST_BUFFER: usize = 8 << 10;
-/// Pause after a connection could not be taken, as when descriptors run out.
-const AFTER_FAILURE: Duration = Duration::from_millis(50);
+/// Minimum buffer size of the HTTP parser, in bytes.
+const MIN_BUFFER_BYTES: usize = 8 << 10;
+/// Delay after a failed accept, for example when file descriptors run out.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// How far a planned stop has come.
+/// Progress of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Takes callers.
+    /// Normal operation.
     Serving,
-    /// Callers are sent elsewhere; those that still come are served.
+    /// Callers are directed to other daemons; requests that still arrive are served.
     Leaving,
-    /// Takes no new connections or requests; those begun go on.
+    /// New connections and requests are not accepted; running requests continue.
     Closing,
 }
 
-/// Bounds on one connection.
+/// Limits for one connection.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionLimits {
-    /// Largest head of a request, in bytes.
-    pub header_bytes: usize,
-    /// Longest time without a whole head, rest between requests included.
-    pub idle: Duration,
+    /// Largest request head, in bytes.
+    pub max_header_bytes: usize,
+    /// Longest time to wait for a complete request head, including idle time between requests.
+    pub idle_timeout: Duration,
 }
 
-/// Connections that are open, and how many may be.
+/// Counts open connections and limits their number.
 #[derive(Debug)]
-pub struct Open {
+pub struct OpenConnections {
     count: AtomicUsize,
-    most: usize,
+    max: usize,
 }
 
-/// What answers requests.
+/// Answers requests.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request. With `leaving` the caller should not use the connection again.
+    /// Answers one request. If `leaving` is set, the caller should not reuse the connection.
     fn answer(
         &self,
         request: Request<Incoming>,
         leaving: bool,
     ) -> BoxFuture<'static, Response<AnswerBody>>;
-    /// Bounds on a new connection.
+    /// Limits for a new connection.
     fn limits(&self) -> ConnectionLimits;
 }
 
-impl Open {
-    /// None yet, of `most`.
-    pub fn new(most: usize) -> Open {
-        Open { count: AtomicUsize::new(0), most }
+impl OpenConnections {
+    /// Creates a counter that admits up to `max` connections.
+    pub fn new(max: usize) -> OpenConnections {
+        OpenConnections { count: AtomicUsize::new(0), max }
     }
 
-    /// How many.
+    /// Number of open connections.
     pub fn count(&self) -> usize {
         self.count.load(Ordering::Relaxed)
     }
 
-    /// Whether no further one is taken.
+    /// Whether the limit is reached.
     pub fn is_full(&self) -> bool {
-        self.count() >= self.most
+        self.count() >= self.max
     }
 
-    /// Counts one more; `None` where too many are open.
-    fn enter(self: &Arc<Self>) -> Option<Counted> {
+    /// Counts a new connection; `None` if the limit is reached.
+    fn enter(self: &Arc<Self>) -> Option<ConnectionGuard> {
         if self.is_full() {
             return None;
         }
         self.count.fetch_add(1, Ordering::Relaxed);
-        Some(Counted(self.clone()))
+        Some(ConnectionGuard(self.clone()))
     }
 }
 
-/// One connection among those that are open.
-struct Counted(Arc<Open>);
+/// Counts as one open connection until dropped.
+struct ConnectionGuard(Arc<OpenConnections>);
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.count.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Listens on an address.
+/// Binds a listener to an address.
 pub async fn bind(addr: SocketAddr) -> Result<TcpListener> {
     let refused =
         |e: std::io::Error| Error::Listen { addr: addr.to_string(), reason: e.to_string() };
     TcpListener::bind(addr).await.map_err(refused)
 }
 
-/// Where a listener listens.
+/// The address of a listener.
 pub fn addr(listener: &TcpListener) -> Result<SocketAddr> {
     let unknown = |e: std::io::Error| Error::Listen { addr: "?".into(), reason: e.to_string() };
     listener.local_addr().map_err(unknown)
 }
 
-/// Takes connections until the phase is [`Phase::Closing`].
+/// Accepts connections until the phase is [`Phase::Closing`].
 pub async fn serve(
     listener: TcpListener,
     handler: Arc<dyn Handler>,
     mut phase: watch::Receiver<Phase>,
-    open: Arc<Open>,
+    open: Arc<OpenConnections>,
 ) {
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = closing(&mut phase) => return,
+            () = wait_for_closing(&mut phase) => return,
         };
         match accepted {
             Ok((stream, _)) => {
-                let Some(counted) = open.enter() else {
-                    // Closed unread: the caller may try another daemon with any request.
-                    debug!("connection over the limit closed");
+                let Some(guard) = open.enter() else {
+                    // Closed before anything is read, so that the caller can safely send any request to
+                    // another daemon.
+                    debug!("connection closed: too many are open");
                     continue;
                 };
-                let connection = connection(stream, handler.clone(), phase.clone());
+                let connection = serve_connection(stream, handler.clone(), phase.clone());
                 tokio::spawn(async move {
                     connection.await;
-                    drop(counted);
+                    drop(guard);
                 });
             }
             Err(e) => {
-                warn!(why = e.to_string().as_str(); "connection not taken");
-                sleep(AFTER_FAILURE).await;
+                warn!(why = e.to_string().as_str(); "could not accept connection");
+                sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
     }
 }
 
 /// Serves one connection.
-async fn connection(
+async fn serve_connection(
     stream: TcpStream,
     handler: Arc<dyn Handler>,
     mut phase: watch::Receiver<Phase>,
 ) {
     if let Err(e) = stream.set_nodelay(true) {
-        debug!("connection lost at once: {e}");
+        debug!("could not set TCP_NODELAY: {e}");
         return;
     }
     let limits = handler.limits();
@@ -161,24 +162,24 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.idle)
-        .max_buf_size(limits.header_bytes.max(LEAST_BUFFER))
+        .header_read_timeout(limits.idle_timeout)
+        .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let ended = tokio::select! {
         ended = &mut connection => ended,
-        () = closing(&mut phase) => {
+        () = wait_for_closing(&mut phase) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
     if let Err(e) = ended {
-        debug!("connection ended: {e}");
+        debug!("connection failed: {e}");
     }
 }
 
-/// Returns once no new connections or requests are taken.
-async fn closing(phase: &mut watch::Receiver<Phase>) {
-    // An error means that the daemon itself has ended.
+/// Returns once the phase is [`Phase::Closing`].
+async fn wait_for_closing(phase: &mut watch::Receiver<Phase>) {
+    // The wait fails only if the sender was dropped: the daemon itself has stopped.
     drop(phase.wait_for(|phase| *phase == Phase::Closing).await);
 }
--- a/src/gateway/policies.rs
+++ b/src/gateway/policies.rs
@@ -1,16 +1,18 @@
-//! The simple ways to choose a server, beside [`Headroom`], to compare with it on live traffic.
+//! Simple placement policies, to compare with [`Headroom`] on live traffic.
 
-use crate::gateway::place::{Candidate, Headroom, PlacementRequest, Placing, draw_least};
+use crate::gateway::place::{
+    Candidate, Headroom, PlacementPolicy, PlacementRequest, draw_cheapest,
+};
 use crate::gateway::servers::ServerKey;
 use rand::{Rng, RngExt};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Instant;
 
-/// Names of all ways to choose, as they are given on the command line.
+/// Names of all policies, as given on the command line.
 pub const NAMES: [&str; 4] = ["headroom", "least-load", "two-choices", "round-robin"];
 
-/// A way to choose by its name; `None` where there is none of that name.
-pub fn by_name(name: &str) -> Option<Box<dyn Placing>> {
+/// Returns the policy with a name; `None` if there is none.
+pub fn by_name(name: &str) -> Option<Box<dyn PlacementPolicy>> {
     match name {
         "headroom" => Some(Box::new(Headroom)),
         "least-load" => Some(Box::new(LeastLoad)),
@@ -20,11 +22,12 @@
     }
 }
 
-/// The server with the fewest requests, as far as known; one is drawn where several have as few.
+/// Chooses the server with the fewest requests, as far as known, and a random one of several with equally
+/// few.
 #[derive(Debug, Default)]
 pub struct LeastLoad;
 
-impl Placing for LeastLoad {
+impl PlacementPolicy for LeastLoad {
     fn name(&self) -> &'static str {
         "least-load"
     }
@@ -36,15 +39,15 @@
         _now: Instant,
         rng: &mut dyn Rng,
     ) -> Option<ServerKey> {
-        draw_least(candidates, |c| f64::from(c.load.runs), 0.0, rng)
+        draw_cheapest(candidates, |c| f64::from(c.load.runs), 0.0, rng)
     }
 }
 
-/// Of two servers drawn, the one with fewer requests.
+/// Draws two servers and chooses the one with fewer requests.
 #[derive(Debug, Default)]
 pub struct TwoChoices;
 
-impl Placing for TwoChoices {
+impl PlacementPolicy for TwoChoices {
     fn name(&self) -> &'static str {
         "two-choices"
     }
@@ -65,13 +68,13 @@
     }
 }
 
-/// Each server in its turn, whatever it has.
+/// Chooses the servers in turn, whatever their load.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
-    turn: AtomicUsize,
+    next: AtomicUsize,
 }
 
-impl Placing for RoundRobin {
+impl PlacementPolicy for RoundRobin {
     fn name(&self) -> &'static str {
         "round-robin"
     }
@@ -83,7 +86,7 @@
         _now: Instant,
         _rng: &mut dyn Rng,
     ) -> Option<ServerKey> {
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
+        let turn = self.next.fetch_add(1, Ordering::Relaxed);
         let at = turn.checked_rem(candidates.len())?;
         Some(candidates[at].key)
     }
--- a/src/gateway/regions.rs
+++ b/src/gateway/regions.rs
@@ -1,6 +1,6 @@
-//! Which hall is in which region, and which of them a request may go to.
+//! The regions of halls, and the halls to which a request may go.
 
-use crate::gateway::table::Homes;
+use crate::gateway::table::RegionList;
 use std::collections::HashMap;
 
 /// The region of each hall.
@@ -8,30 +8,30 @@
 pub struct Regions(HashMap<String, String>);
 
 impl Regions {
-    /// Halls with their regions.
+    /// Builds the map from halls to regions.
     pub fn new(halls: HashMap<String, String>) -> Regions {
         Regions(halls)
     }
 
-    /// The region of a hall; `None` where it isn't known.
+    /// The region of a hall; `None` where it is unknown.
     pub fn of(&self, hall: &str) -> Option<&str> {
         self.0.get(hall).map(String::as_str)
     }
 }
 
-/// Where one request may go.
+/// The regions to which one request may go.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Allowed<'a> {
+pub(crate) struct AllowedRegions<'a> {
     pub(crate) regions: &'a Regions,
-    /// The regions of its route.
-    pub(crate) route: &'a Homes,
-    /// Those of its workspace, if it has one.
-    pub(crate) workspace: Option<&'a Homes>,
+    /// Regions that its route allows.
+    pub(crate) route: &'a RegionList,
+    /// Regions that its workspace allows, if it has one.
+    pub(crate) workspace: Option<&'a RegionList>,
 }
 
-impl Allowed<'_> {
-    /// Whether it may go to a hall. One whose region isn't known is in no region.
-    pub(crate) fn has(&self, hall: &str) -> bool {
+impl AllowedRegions<'_> {
+    /// Whether the request may go to a hall. A hall of unknown region counts as being in none.
+    pub(crate) fn includes(&self, hall: &str) -> bool {
         let region = self.regions.of(hall);
         self.route.allow(region) && self.workspace.is_none_or(|homes| homes.allow(region))
     }
--- a/src/gateway/rollout/rollouts.rs
+++ b/src/gateway/rollout/rollouts.rs
@@ -1,31 +1,37 @@
-//! All roll-outs of a daemon, by service, and what the store has of them.
+//! All rollouts that a daemon knows, by service, with their records.
 
-use super::record::Recorded;
+use super::record::KnownRecord;
 use super::{
-    Arm, Census, Draw, Order, Pick, Record, Reports, Retired, Rollout, STOPPING, State, Step,
-    Stratum, tag,
+    Arm, Draw, Order, Pick, Record, Reports, Retired, Rollout, STOP_PERIOD, State, Step, Stratum,
+    VersionCounts, tag,
 };
-use crate::gateway::clock::{before, millis};
+use crate::gateway::clock::{millis_between, minus_millis};
 use crate::gateway::tag::Tag;
 use crate::platform::Position;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// All roll-outs.
+/// All rollouts.
 #[derive(Debug, Default)]
 pub struct Rollouts {
     by_service: HashMap<Arc<str>, Rollout>,
-    records: HashMap<Arc<str>, Recorded>,
+    records: HashMap<Arc<str>, KnownRecord>,
 }
 
 impl Rollouts {
-    /// Takes in an order, or with `None` that it was withdrawn.
-    pub fn order(&mut self, service: &str, position: Position, order: Option<Order>, now: Instant) {
+    /// Applies an order; `None` means that it was withdrawn.
+    pub fn set_order(
+        &mut self,
+        service: &str,
+        position: Position,
+        order: Option<Order>,
+        now: Instant,
+    ) {
         match order {
             Some(order) => {
                 let known = self.by_service.get(service);
-                if known.is_some_and(|known| known.is_written_again(&order, position)) {
+                if known.is_some_and(|known| known.is_reissue(&order, position)) {
                     return;
                 }
                 let rollout = Rollout::new(service, position, order, now);
@@ -34,14 +40,14 @@
             }
             None => {
                 if let Some(rollout) = self.by_service.get_mut(service) {
-                    rollout.halted.get_or_insert("the order was withdrawn");
+                    rollout.halt_reason.get_or_insert("the order was withdrawn");
                 }
             }
         }
     }
 
-    /// Takes in what the store says of how far a roll-out has come. Says whether that was not known before.
-    pub fn record(
+    /// Applies the store's record of a rollout. Returns whether the record was unknown before.
+    pub fn set_record(
         &mut self,
         service: &str,
         position: Position,
@@ -49,95 +55,107 @@
         now: Instant,
     ) -> bool {
         let known = self.records.get(service);
-        if known.is_some_and(|known| known.at >= position) {
+        if known.is_some_and(|known| known.position >= position) {
             return false;
         }
         let is_new = known.is_none_or(|known| known.record != record);
-        let recorded = Recorded { record, at: position, stored: true };
-        self.records.insert(service.into(), recorded);
+        let known = KnownRecord { record, position, stored: true };
+        self.records.insert(service.into(), known);
         self.apply_record(service, now);
         is_new
     }
 
-    /// The store has lost the record of a roll-out, which is to be written again; it has an older one there, or none
-    /// where that is the start.
-    pub fn lose_record(&mut self, service: &str, record: Record, at: Position, now: Instant) {
-        self.records.insert(service.into(), Recorded { record, at, stored: false });
+    /// Marks a record as lost by the store, so that it is written again. `position` is that of the older
+    /// record in the store, or the start if there is none.
+    pub fn set_lost_record(
+        &mut self,
+        service: &str,
+        record: Record,
+        position: Position,
+        now: Instant,
+    ) {
+        self.records.insert(service.into(), KnownRecord { record, position, stored: false });
         self.apply_record(service, now);
     }
 
-    /// Records that the store has lost, each with the position of what it has there.
+    /// Records that the store has lost, each with the position of what the store has in its place.
     pub fn lost_records(&self) -> Vec<(Arc<str>, Position, Record)> {
-        let lost = self.records.iter().filter(|(_, recorded)| !recorded.stored);
-        lost.map(|(service, r)| (service.clone(), r.at, r.record.clone())).collect()
+        let lost = self.records.iter().filter(|(_, known)| !known.stored);
+        lost.map(|(service, r)| (service.clone(), r.position, r.record.clone())).collect()
     }
 
     fn apply_record(&mut self, service: &str, now: Instant) {
-        let (Some(rollout), Some(Recorded { record, .. })) =
+        let (Some(rollout), Some(KnownRecord { record, .. })) =
             (self.by_service.get_mut(service), self.records.get(service))
         else {
             return;
         };
-        let ordered = record.ordered();
-        // An order of an earlier era that the operators have written again, as a daemon that started since knows it.
-        if ordered.era < rollout.position.era && *record.version == *rollout.order.version {
-            rollout.position = ordered;
-            rollout.tag = tag(service, ordered);
+        let order_position = record.order_position();
+        // The operators wrote an order of an earlier era again, and this daemon started since: use the
+        // position of the original order, to which the record belongs.
+        if order_position.era < rollout.position.era && *record.version == *rollout.order.version {
+            rollout.position = order_position;
+            rollout.tag = tag(service, order_position);
         }
         let known = rollout.state.map(|(state, _)| state);
-        if ordered == rollout.position && known.is_none_or(|known| known.may_become(record.state)) {
+        if order_position == rollout.position
+            && known.is_none_or(|known| known.may_become(record.state))
+        {
             rollout.state = Some((record.state, now));
         }
     }
 
-    /// The record that a step leads to, and the position of the one that it replaces; the start where there is none.
+    /// The record that a step leads to, and the position of the record that it replaces; the start if there
+    /// is none.
     pub fn next_record(&self, service: &str, step: Step) -> Option<(Position, Record)> {
         let rollout = self.by_service.get(service)?;
-        let replaced = self.records.get(service).map_or(Position::START, |recorded| recorded.at);
+        let replaced = self.records.get(service).map_or(Position::START, |known| known.position);
         let Position { era, revision } = rollout.position;
         let version = rollout.order.version.to_string();
         let record = Record { order: revision, era, version, state: step.to, why: step.why.into() };
         Some((replaced, record))
     }
 
-    /// Whether any roll-out is under way, or its old servers are about to stop.
-    pub fn is_live(&self, now: Instant) -> bool {
-        let stops = |rollout: &Rollout| match rollout.state {
-            Some((State::Completed, since)) => now.saturating_duration_since(since) < STOPPING,
+    /// Whether a rollout is in progress, has a lost record, or has completed so recently that its old servers
+    /// are about to stop.
+    pub fn is_active(&self, now: Instant) -> bool {
+        let is_stopping = |rollout: &Rollout| match rollout.state {
+            Some((State::Completed, since)) => now.saturating_duration_since(since) < STOP_PERIOD,
             _ => false,
         };
-        let lost = self.records.values().any(|recorded| !recorded.stored);
-        lost || self.live().next().is_some() || self.by_service.values().any(stops)
+        let lost = self.records.values().any(|known| !known.stored);
+        lost || self.in_progress().next().is_some() || self.by_service.values().any(is_stopping)
     }
 
-    fn live(&self) -> impl Iterator<Item = (&Arc<str>, &Rollout)> {
+    fn in_progress(&self) -> impl Iterator<Item = (&Arc<str>, &Rollout)> {
         self.by_service
             .iter()
             .filter(|(_, rollout)| rollout.state.is_none_or(|(state, _)| !state.is_final()))
     }
 
-    /// Whether a service has a roll-out.
-    pub fn has(&self, service: &str) -> bool {
+    /// Whether a service has a rollout.
+    pub fn contains(&self, service: &str) -> bool {
         self.by_service.contains_key(service)
     }
 
-    /// Services with a roll-out, each with its new version.
+    /// Services with a rollout, each with its new version.
     pub fn versions(&self) -> Vec<(Arc<str>, Arc<str>)> {
         let all = self.by_service.iter();
         all.map(|(service, rollout)| (service.clone(), rollout.order.version.clone())).collect()
     }
 
-    /// The new version of a service's roll-out.
+    /// The new version of a service's rollout.
     pub fn version(&self, service: &str) -> Option<String> {
         Some(self.by_service.get(service)?.order.version.to_string())
     }
 
-    /// Where a request goes; `None` where all servers of its service are alike to it.
-    pub fn pick(&self, service: &str, draw: Draw, bound: f64, now: Instant) -> Option<Pick> {
-        self.by_service.get(service)?.pick(draw, bound, now)
+    /// The servers that a request may go to; `None` if all servers of its service are equivalent.
+    pub fn pick(&self, service: &str, draw: Draw, exposure: f64, now: Instant) -> Option<Pick> {
+        self.by_service.get(service)?.pick(draw, exposure, now)
     }
 
-    /// Under which heading a request at a server of such a version counts; `None` where that tells nothing.
+    /// The tally in which a request at a server of `version` counts; `None` if no rollout of the service is
+    /// in progress.
     pub fn stratum(&self, service: &str, route: &str, version: &str) -> Option<Stratum> {
         let rollout = self.by_service.get(service)?;
         if rollout.state().is_final() {
@@ -148,65 +166,70 @@
         Some(Stratum { rollout: rollout.tag, route: Tag::of(route), arm })
     }
 
-    /// Notes an answer with its time, or with `None` a failure.
-    pub fn note(&mut self, stratum: Stratum, time: Option<Duration>) {
+    /// Records the response time of a request; `None` means that it failed.
+    pub fn record_outcome(&mut self, stratum: Stratum, time: Option<Duration>) {
         let rollout = self.by_service.values_mut().find(|r| r.tag == stratum.rollout);
         if let Some(rollout) = rollout {
-            rollout.own.entry((stratum.route, stratum.arm)).or_default().note(time);
+            rollout.own_tallies.entry((stratum.route, stratum.arm)).or_default().record(time);
         }
     }
 
-    /// What this daemon tells others: how its requests went, and how old orders are.
+    /// What this daemon reports to its peers: the outcomes of its requests and the ages of orders.
     pub fn for_peers(&self, now: Instant) -> Reports {
         let mut reports = Reports::default();
-        for (_, rollout) in self.live() {
-            reports.ages.insert(rollout.tag, millis(rollout.began, now));
+        for (_, rollout) in self.in_progress() {
+            reports.order_ages_ms.insert(rollout.tag, millis_between(rollout.ordered_at, now));
             let stratum = |(route, arm)| Stratum { rollout: rollout.tag, route, arm };
-            let own = rollout.own.iter().map(|(key, tally)| (stratum(*key), *tally));
+            let own = rollout.own_tallies.iter().map(|(key, tally)| (stratum(*key), *tally));
             reports.tallies.extend(own);
         }
         reports
     }
 
-    /// Takes over what the other daemons told.
-    pub fn set_others(&mut self, heard: &Reports, now: Instant) {
+    /// Replaces the reports of the other daemons.
+    pub fn set_peer_reports(&mut self, reports: &Reports, now: Instant) {
         for rollout in self.by_service.values_mut() {
-            rollout.others.clear();
-            let its = heard.tallies.iter().filter(|(stratum, _)| stratum.rollout == rollout.tag);
-            rollout.others.extend(its.map(|(s, tally)| ((s.route, s.arm), *tally)));
-            // An order is as old as any daemon knows it to be.
-            let age = heard.ages.get(&rollout.tag).and_then(|age| before(now, *age));
-            rollout.began = age.map_or(rollout.began, |began| began.min(rollout.began));
+            rollout.peer_tallies.clear();
+            let tallies =
+                reports.tallies.iter().filter(|(stratum, _)| stratum.rollout == rollout.tag);
+            rollout.peer_tallies.extend(tallies.map(|(s, tally)| ((s.route, s.arm), *tally)));
+            // The daemon that saw an order first determines its age.
+            let age =
+                reports.order_ages_ms.get(&rollout.tag).and_then(|age| minus_millis(now, *age));
+            rollout.ordered_at =
+                age.map_or(rollout.ordered_at, |ordered_at| ordered_at.min(rollout.ordered_at));
         }
     }
 
-    /// Tests what was counted since the last time. Answers of one moment are late together, so that this is done some
-    /// times a second and not for each of them.
-    pub fn weigh(&mut self) {
-        self.by_service.values_mut().for_each(Rollout::weigh);
+    /// Runs the test on outcomes since the last call. Responses at one moment are slow together, so this runs
+    /// a few times a second and not for each response.
+    pub fn evaluate(&mut self) {
+        self.by_service.values_mut().for_each(Rollout::evaluate);
     }
 
-    /// Takes in which servers a service with a roll-out has.
-    pub fn count(&mut self, service: &str, census: Census) {
+    /// Updates the server counts of a service with a rollout.
+    pub fn set_counts(&mut self, service: &str, counts: VersionCounts) {
         if let Some(rollout) = self.by_service.get_mut(service) {
-            rollout.had_baseline |= census.baseline > 0;
-            rollout.census = census;
+            rollout.had_baseline |= counts.baseline_count > 0;
+            rollout.counts = counts;
         }
     }
 
-    /// The steps that are due.
-    pub fn due(&self, bound: f64, now: Instant) -> Vec<(Arc<str>, Step)> {
-        let due = self.live();
-        due.filter_map(|(service, r)| Some((service.clone(), r.due(bound, now)?))).collect()
+    /// The steps that are due, by service.
+    pub fn due_steps(&self, exposure: f64, now: Instant) -> Vec<(Arc<str>, Step)> {
+        let rollouts = self.in_progress();
+        rollouts
+            .filter_map(|(service, r)| Some((service.clone(), r.due_step(exposure, now)?)))
+            .collect()
     }
 
-    /// Servers of a service that get nothing more.
+    /// Servers of a service that get no more requests.
     pub fn retired(&self, service: &str, now: Instant) -> Option<Retired> {
         self.by_service.get(service)?.retired(now)
     }
 
-    /// Whether this daemon has found the candidate bad, and why.
-    pub fn halted(&self, service: &str) -> Option<&'static str> {
-        self.by_service.get(service)?.halted
+    /// Why this daemon sends nothing to the candidate, if it has found it bad.
+    pub fn halt_reason(&self, service: &str) -> Option<&'static str> {
+        self.by_service.get(service)?.halt_reason
     }
 }
--- a/src/gateway/rollout/tally.rs
+++ b/src/gateway/rollout/tally.rs
@@ -1,32 +1,33 @@
-//! Counts of how requests went at the servers of one version.
+//! Counts of request outcomes at the servers of one version.
 
 use serde::{Deserialize, Serialize};
 use std::ops::AddAssign;
 use std::time::Duration;
 
-/// Buckets of a histogram of times; each bound is the square root of two times the one before.
+/// Buckets of the histogram of response times. Each upper bound is the square root of two times the previous
+/// one.
 const BUCKETS: usize = 24;
 /// Upper bound of the first bucket, in milliseconds. The last bucket begins at 5.8 s.
-const FIRST_BOUND_MS: f64 = 2.0;
-/// Requests after which those before them count for a third.
+const FIRST_BUCKET_MS: f64 = 2.0;
+/// Number of requests after which the weight of earlier ones has dropped to about a third.
 const WINDOW: f64 = 30.0;
-/// Buckets that double a time.
-const DOUBLED: usize = 2;
+/// Number of buckets per doubling of the time.
+const BUCKETS_PER_DOUBLING: usize = 2;
 
-/// Requests of one route at the servers of one version.
+/// Outcomes of one route's requests at the servers of one version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// All of them.
-    pub tried: u32,
-    /// Those that failed.
+    /// All requests.
+    pub requests: u32,
+    /// Failed requests.
     pub failed: u32,
-    /// Times to the answer, of a stream to its first event, of the others.
+    /// Histogram of response times of the others; for a stream, the time to its first event.
     times: [u32; BUCKETS],
 }
 
 impl AddAssign for Tally {
     fn add_assign(&mut self, other: Tally) {
-        self.tried += other.tried;
+        self.requests += other.requests;
         self.failed += other.failed;
         for (count, more) in self.times.iter_mut().zip(other.times) {
             *count += more;
@@ -34,89 +35,89 @@
     }
 }
 
-/// The bucket of a time.
+/// Index of the bucket for a response time.
 fn bucket(time: Duration) -> usize {
-    let ratio = time.as_secs_f64() * 1_000.0 / FIRST_BOUND_MS;
-    // Not negative, and clipped.
-    ((ratio.max(1.0).log2() * DOUBLED as f64).ceil() as usize).min(BUCKETS - 1)
+    let ratio = time.as_secs_f64() * 1_000.0 / FIRST_BUCKET_MS;
+    // The value is at least 0 before the cast, and capped at the last bucket after it.
+    ((ratio.max(1.0).log2() * BUCKETS_PER_DOUBLING as f64).ceil() as usize).min(BUCKETS - 1)
 }
 
 impl Tally {
-    /// Notes an answer, or with `None` a failure.
-    pub fn note(&mut self, time: Option<Duration>) {
-        self.tried += 1;
+    /// Records a response time; `None` means that the request failed.
+    pub fn record(&mut self, time: Option<Duration>) {
+        self.requests += 1;
         match time {
             Some(time) => self.times[bucket(time)] += 1,
             None => self.failed += 1,
         }
     }
 
-    /// Answers with a time.
+    /// Number of responses with a time.
     pub fn answered(&self) -> u32 {
         self.times.iter().sum()
     }
 
-    /// What has come since an earlier tally.
+    /// What was added since an earlier tally.
     pub fn since(&self, earlier: &Tally) -> Tally {
         let mut times = self.times;
-        for (count, known) in times.iter_mut().zip(earlier.times) {
-            *count = count.saturating_sub(known);
+        for (count, before) in times.iter_mut().zip(earlier.times) {
+            *count = count.saturating_sub(before);
         }
         Tally {
-            tried: self.tried.saturating_sub(earlier.tried),
+            requests: self.requests.saturating_sub(earlier.requests),
             failed: self.failed.saturating_sub(earlier.failed),
             times,
         }
     }
 
-    /// Answers that took longer than a time that [`Recent::slow`] gave.
-    pub fn slower(&self, than: Slow) -> u32 {
-        self.times.iter().skip(than.0 + 1).sum()
+    /// Number of responses that took longer than a bound from [`Recent::slow_bound`].
+    pub fn count_slower(&self, bound: SlowBound) -> u32 {
+        self.times.iter().skip(bound.0 + 1).sum()
     }
 }
 
-/// A bound on times.
+/// An upper bound on response times, as the index of a bucket.
 #[derive(Debug, Clone, Copy)]
-pub struct Slow(usize);
+pub struct SlowBound(usize);
 
-/// How requests went lately; each new one makes those before it count a little less.
+/// Outcomes of recent requests. Each new request reduces the weight of the earlier ones.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Recent {
-    tried: f64,
+    requests: f64,
     failed: f64,
     times: [f64; BUCKETS],
 }
 
 impl Recent {
-    /// Adds requests.
+    /// Adds new requests.
     pub fn add(&mut self, more: &Tally) {
-        let kept = (1.0 - f64::from(more.tried) / WINDOW).max(0.0);
-        let add = |known: &mut f64, more: u32| *known = *known * kept + f64::from(more);
-        add(&mut self.tried, more.tried);
+        let decay = (1.0 - f64::from(more.requests) / WINDOW).max(0.0);
+        let add = |total: &mut f64, more: u32| *total = *total * decay + f64::from(more);
+        add(&mut self.requests, more.requests);
         add(&mut self.failed, more.failed);
-        for (known, more) in self.times.iter_mut().zip(more.times) {
-            add(known, more);
+        for (total, more) in self.times.iter_mut().zip(more.times) {
+            add(total, more);
         }
     }
 
-    /// Answers with a time.
+    /// Weighted number of responses with a time.
     pub fn answered(&self) -> f64 {
         self.times.iter().sum()
     }
 
-    /// The rate of failures, with `assumed` requests besides of which one failed.
-    pub fn failing(&self, assumed: f64) -> f64 {
-        (self.failed + 1.0) / (self.tried + assumed)
+    /// Failure rate, with one failure among `prior_requests` more requests added as a prior.
+    pub fn failure_rate(&self, prior_requests: f64) -> f64 {
+        (self.failed + 1.0) / (self.requests + prior_requests)
     }
 
-    /// Half as long again as all but a `part` of the answers take.
-    pub fn slow(&self, part: f64) -> Slow {
+    /// A bound of about one and a half times the response time that only `fraction` of the responses exceed.
+    pub fn slow_bound(&self, fraction: f64) -> SlowBound {
         let mut above = self.answered();
-        let most = above * part;
+        let max_above = above * fraction;
         let bound = self.times.iter().position(|count| {
             above -= count;
-            above <= most
+            above <= max_above
         });
-        Slow(bound.unwrap_or(BUCKETS - 1) + 1)
+        SlowBound(bound.unwrap_or(BUCKETS - 1) + 1)
     }
 }
--- a/src/gateway/stop.rs
+++ b/src/gateway/stop.rs
@@ -1,38 +1,40 @@
-//! The planned stop of a daemon: callers go elsewhere first, then requests end, then the process.
+//! Graceful shutdown of a daemon: callers are first redirected to other daemons, then open requests finish,
+//! then the process exits.
 
 use crate::gateway::core::Gateway;
-use crate::gateway::listen::{Open, Phase};
+use crate::gateway::listen::{OpenConnections, Phase};
 use crate::time;
 use log::info;
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Time before the end of the grace period from which no request is read any more.
-const LAST_REQUESTS: Duration = Duration::from_millis(1_500);
-/// Time before the end of the grace period at which the process ends, whatever still runs.
-const LAST_MOMENT: Duration = Duration::from_millis(200);
-/// Time between two looks at what is still open.
-const LOOK: Duration = Duration::from_millis(20);
+/// How long before the end of the grace period the daemon stops reading requests.
+const REQUEST_CUTOFF: Duration = Duration::from_millis(1_500);
+/// How long before the end of the grace period the process exits, even with requests still running.
+const EXIT_MARGIN: Duration = Duration::from_millis(200);
+/// Interval between checks for open connections.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Stops within `grace`. Callers come for up to `kept` after they could last be told of this daemon.
+/// Shuts down within `grace`. Callers may use this daemon's address for up to `address_lifetime` after they
+/// could last learn of it, so connections are accepted for that long.
 pub async fn run(
     gateway: &Gateway,
     phase: &watch::Sender<Phase>,
-    open: &Open,
+    open: &OpenConnections,
     grace: Duration,
-    kept: Duration,
+    address_lifetime: Duration,
 ) {
     let began = time::now();
-    let end = began + grace.saturating_sub(LAST_MOMENT);
-    gateway.set_end(end);
+    let end = began + grace.saturating_sub(EXIT_MARGIN);
+    gateway.set_shutdown_deadline(end);
     phase.send_replace(Phase::Leaving);
     info!(connections = open.count(); "leaving");
-    let last_requests = grace.saturating_sub(LAST_REQUESTS);
-    time::sleep_until(began + kept.min(last_requests)).await;
+    let last_requests = grace.saturating_sub(REQUEST_CUTOFF);
+    time::sleep_until(began + address_lifetime.min(last_requests)).await;
     phase.send_replace(Phase::Closing);
     while open.count() > 0 && time::now() < end {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     info!(connections = open.count(); "stopped");
 }
--- a/src/gateway/sums.rs
+++ b/src/gateway/sums.rs
@@ -1,16 +1,17 @@
-//! Sums of what distant daemons told, as they are passed on from relay to relay.
+//! Sums of figures from distant daemons, which relays forward to each other.
 //!
-//! For each origin the latest sum counts and takes the place of the one before, so that nothing counts
-//! twice however it came here. Sums of one hall's cells name their members: where two of them hold the
-//! same daemon, which has just changed its cell, the later one counts and the other waits for its next.
+//! Only the latest sum of each origin counts, and it replaces the one before, so that nothing is
+//! counted twice, whichever way it arrived. The sums of a hall's cells list their members. If two
+//! of them contain the same daemon, because it has just changed its cell, the more recent one
+//! counts, and the other one is left out until its successor arrives.
 
 use crate::gateway::budget::Spent;
 use crate::gateway::cell::CellId;
-use crate::gateway::clock::{Clock, before, millis};
+use crate::gateway::clock::{Clock, millis_between, minus_millis};
 use crate::gateway::fingerprint::Fingerprint;
 use crate::gateway::heartbeat::{DaemonStats, Origin, Sum};
 use crate::gateway::outcomes::Outcomes;
-use crate::gateway::quarantine::{Evidence, most_ended};
+use crate::gateway::quarantine::{Evidence, top_suspects};
 use crate::gateway::rollout;
 use crate::gateway::servers::Load;
 use crate::gateway::tag::Tag;
@@ -20,45 +21,46 @@
 use std::ops::AddAssign;
 use std::time::{Duration, Instant};
 
-/// Age at which a cell's sum no longer counts: a new relay takes over 0.7 s after the last heartbeat
-/// of the one before it, and its first sums need a few heartbeats.
-const CELL_LAPSE: Duration = Duration::from_millis(1_500);
-/// The same for sums of halls, which come less often and over more daemons.
-const HALL_LAPSE: Duration = Duration::from_millis(2_500);
-/// Places that callers are told of at least, so that one loss does not leave them without.
-pub(crate) const LEAST_ENTRIES: usize = 3;
-/// How much younger another maker's sum must be to take the place of one: as long as a relay is heard,
-/// a second daemon that takes itself for it changes nothing.
-const OTHER_MAKER: Duration = Duration::from_millis(450);
-
-/// From where a sum came here.
+/// Age at which a cell's sum expires: a new relay takes over 0.7 s after the last heartbeat of its
+/// predecessor, and its first sums need a few heartbeats.
+const CELL_SUM_LIFETIME: Duration = Duration::from_millis(1_500);
+/// The same for sums of halls, which are sent less often and pass through more daemons.
+const HALL_SUM_LIFETIME: Duration = Duration::from_millis(2_500);
+/// Number of addresses that callers get if possible, so that they still have one after a daemon is
+/// lost.
+pub(crate) const MIN_ENTRIES: usize = 3;
+/// How much younger a sum of another maker must be to replace the known one: while a relay is
+/// reachable, a second daemon that considers itself the relay has no effect.
+const MAKER_CHANGE_AGE: Duration = Duration::from_millis(450);
+
+/// Where a sum was received from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Way {
-    /// From a daemon of this cell.
+pub(crate) enum SumSource {
+    /// A daemon of this cell.
     OwnCell,
-    /// From another cell of this hall.
+    /// Another cell of this hall.
     OwnHall,
-    /// From another hall.
+    /// Another hall.
     OtherHall,
 }
 
 #[derive(Debug)]
 struct StoredSum {
     sum: Sum,
-    /// The earliest moment at which it can have been made.
+    /// The earliest time at which it can have been made.
     made: Instant,
-    /// When and how it came here.
-    came: Instant,
-    way: Way,
+    /// When it was received, and from where.
+    received: Instant,
+    source: SumSource,
 }
 
 impl StoredSum {
-    fn counts(&self, now: Instant) -> bool {
-        let lapse = match self.sum.origin {
-            Origin::Cell(_) => CELL_LAPSE,
-            Origin::Hall(_) | Origin::OtherHalls => HALL_LAPSE,
+    fn is_current(&self, now: Instant) -> bool {
+        let lifetime = match self.sum.origin {
+            Origin::Cell(_) => CELL_SUM_LIFETIME,
+            Origin::Hall(_) | Origin::OtherHalls => HALL_SUM_LIFETIME,
         };
-        now.saturating_duration_since(self.made) <= lapse
+        now.saturating_duration_since(self.made) <= lifetime
     }
 }
 
@@ -69,37 +71,47 @@
 }
 
 impl Sums {
-    /// Takes in a sum that was told by a message sent at `sent` at the earliest.
-    pub(crate) fn take(&mut self, sum: &Sum, sent: Instant, way: Way, now: Instant) {
-        let Some(made) = before(sent, sum.age_ms) else {
+    /// Stores a sum from a message that was sent no earlier than `sent`, if the sum is newer than
+    /// the known one.
+    pub(crate) fn insert_if_newer(
+        &mut self,
+        sum: &Sum,
+        sent: Instant,
+        source: SumSource,
+        now: Instant,
+    ) {
+        let Some(made) = minus_millis(sent, sum.age_ms) else {
             return;
         };
-        let stored = StoredSum { sum: sum.clone(), made, came: now, way };
-        let newer = self.by_origin.get(&sum.origin).is_none_or(|known| {
-            match known.sum.maker == sum.maker {
-                true => known.sum.made < sum.made,
-                false => made.saturating_duration_since(known.made) > OTHER_MAKER,
-            }
-        });
-        if newer && stored.counts(now) {
+        let stored = StoredSum { sum: sum.clone(), made, received: now, source };
+        let newer =
+            self.by_origin.get(&sum.origin).is_none_or(|known| match known.sum.boot == sum.boot {
+                true => known.sum.stamp < sum.stamp,
+                false => made.saturating_duration_since(known.made) > MAKER_CHANGE_AGE,
+            });
+        if newer && stored.is_current(now) {
             self.by_origin.insert(sum.origin, stored);
         }
     }
 
-    /// Forgets what no longer counts.
-    pub(crate) fn forget(&mut self, now: Instant) {
-        self.by_origin.retain(|_, stored| stored.counts(now));
+    /// Removes sums that have expired.
+    pub(crate) fn remove_expired(&mut self, now: Instant) {
+        self.by_origin.retain(|_, stored| stored.is_current(now));
     }
 
-    /// Sums of cells of `hall` but `own`, of which no two hold the same daemon and none one of `near`.
+    /// Sums of the other cells of `own`'s hall. No daemon is in two of them, and none in `near`.
     pub(crate) fn cells(&self, own: CellId, near: HashSet<Tag>, now: Instant) -> Vec<&Sum> {
         let wanted = |stored: &&StoredSum| match stored.sum.origin {
             Origin::Cell(id) => id != own && id.hall == own.hall,
             Origin::Hall(_) | Origin::OtherHalls => false,
         };
-        let mut cells: Vec<&StoredSum> =
-            self.by_origin.values().filter(wanted).filter(|stored| stored.counts(now)).collect();
-        cells.sort_by_key(|stored| (std::cmp::Reverse(stored.made), stored.sum.maker));
+        let mut cells: Vec<&StoredSum> = self
+            .by_origin
+            .values()
+            .filter(wanted)
+            .filter(|stored| stored.is_current(now))
+            .collect();
+        cells.sort_by_key(|stored| (std::cmp::Reverse(stored.made), stored.sum.boot));
         let mut counted = near;
         let mut disjoint = Vec::new();
         for stored in cells {
@@ -111,51 +123,60 @@
         disjoint
     }
 
-    /// Sums of other halls: for a relay each hall's own, for its cell what the relay made of them. A
-    /// daemon that has just become a relay, or has just lost its own, has the other ones for a while.
+    /// Sums of other halls: a relay uses each hall's own sum, other daemons use the sum that their
+    /// relay made of these. A daemon that has just become a relay, or has just lost its relay, uses
+    /// the other kind for a while.
     pub(crate) fn halls(&self, relay: bool, now: Instant) -> Vec<&Sum> {
-        let counts =
-            self.by_origin.values().filter(|stored| stored.counts(now)).map(|stored| &stored.sum);
-        let (halls, others): (Vec<&Sum>, Vec<&Sum>) = counts
+        let current = self
+            .by_origin
+            .values()
+            .filter(|stored| stored.is_current(now))
+            .map(|stored| &stored.sum);
+        let (halls, others): (Vec<&Sum>, Vec<&Sum>) = current
             .filter(|sum| !matches!(sum.origin, Origin::Cell(_)))
             .partition(|sum| matches!(sum.origin, Origin::Hall(_)));
         let (first, second) = if relay { (halls, others) } else { (others, halls) };
         if first.is_empty() { second } else { first }
     }
 
-    /// Sums that came after `last` and are to be passed on by their origin and way, with their ages.
-    pub(crate) fn passed_on(
+    /// Sums received after `last` that `wanted` selects by origin and source, with their current
+    /// ages.
+    pub(crate) fn to_forward(
         &self,
-        wanted: impl Fn(Origin, Way) -> bool,
+        wanted: impl Fn(Origin, SumSource) -> bool,
         last: Option<Instant>,
         now: Instant,
     ) -> impl Iterator<Item = Sum> {
-        let came =
-            self.by_origin.values().filter(move |stored| wanted(stored.sum.origin, stored.way));
-        let fresh = came.filter(move |stored| stored.counts(now) && Some(stored.came) > last);
-        fresh.map(move |stored| Sum { age_ms: millis(stored.made, now), ..stored.sum.clone() })
+        let selected =
+            self.by_origin.values().filter(move |stored| wanted(stored.sum.origin, stored.source));
+        let fresh =
+            selected.filter(move |stored| stored.is_current(now) && Some(stored.received) > last);
+        fresh.map(move |stored| Sum {
+            age_ms: millis_between(stored.made, now),
+            ..stored.sum.clone()
+        })
     }
 }
 
-/// Adds up what was told, and whose words it was.
+/// Adds up the figures of daemons, and records which daemons are included.
 #[derive(Debug, Default)]
-pub(crate) struct Adder {
+pub(crate) struct SumBuilder {
     members: Vec<Tag>,
     daemons: u32,
     entries: Vec<SocketAddr>,
-    /// What runs at each server.
+    /// The load on each server.
     pub(crate) loads: HashMap<Tag, Load>,
     spent: HashMap<Tag, Spent>,
-    /// How exchanges with each server went.
+    /// The outcomes of exchanges with each server.
     pub(crate) outcomes: HashMap<Tag, Outcomes>,
-    /// What became of the servers that ran suspected requests.
+    /// What happened to the servers that ran suspected requests.
     pub(crate) evidence: HashMap<Fingerprint, Evidence>,
-    /// How requests went in roll-outs.
+    /// The results of requests in rollouts.
     pub(crate) rollouts: rollout::Reports,
 }
 
-impl Adder {
-    /// Adds what was told.
+impl SumBuilder {
+    /// Adds these figures.
     pub(crate) fn add(&mut self, stats: &DaemonStats) {
         add(&mut self.loads, &stats.loads);
         add(&mut self.spent, &stats.spent);
@@ -164,21 +185,21 @@
             self.evidence.entry(*request).or_default().merge(evidence);
         }
         add(&mut self.rollouts.tallies, &stats.tallies);
-        for (order, age) in &stats.orders {
-            let known = self.rollouts.ages.entry(*order).or_default();
+        for (order, age) in &stats.rollout_ages {
+            let known = self.rollouts.order_ages_ms.entry(*order).or_default();
             *known = (*known).max(*age);
         }
     }
 
-    /// Adds one daemon's word; `entry` is where callers may be sent to it.
-    pub(crate) fn add_daemon(&mut self, name: Tag, stats: &DaemonStats, entry: Option<SocketAddr>) {
+    /// Adds one daemon; `entry` is its address for callers, if it accepts them.
+    pub(crate) fn add_daemon(&mut self, tag: Tag, stats: &DaemonStats, entry: Option<SocketAddr>) {
         self.add(stats);
-        self.members.push(name);
+        self.members.push(tag);
         self.daemons += 1;
         self.entries.extend(entry);
     }
 
-    /// Adds a part of the fleet, with one of its entries. Members are kept of whole halls only.
+    /// Adds a sum, with one of its entries. Of its members, only complete halls are recorded.
     pub(crate) fn add_sum(&mut self, sum: &Sum) {
         self.add(&sum.stats);
         self.members.extend(halls_of(sum));
@@ -186,18 +207,18 @@
         self.entries.extend(sum.entries.first());
     }
 
-    /// Leaves out servers with fewer requests than so many.
-    pub(crate) fn leave_out_light(&mut self, least: u32) {
-        self.loads.retain(|_, load| load.runs >= least);
+    /// Removes the loads of servers with fewer than `least` requests.
+    pub(crate) fn drop_light_loads(&mut self, min_runs: u32) {
+        self.loads.retain(|_, load| load.runs >= min_runs);
     }
 
-    /// The sum, made now by the process of that clock.
+    /// The sum, dated by the clock of this process.
     pub(crate) fn sum(mut self, origin: Origin, clock: &Clock, now: Instant) -> Sum {
-        self.entries.truncate(LEAST_ENTRIES);
+        self.entries.truncate(MIN_ENTRIES);
         Sum {
             origin,
-            maker: clock.boot(),
-            made: clock.stamp(now),
+            boot: clock.boot(),
+            stamp: clock.stamp(now),
             age_ms: 0,
             members: self.members,
             daemons: self.daemons,
@@ -206,15 +227,15 @@
                 loads: self.loads.into_iter().collect(),
                 spent: self.spent.into_iter().collect(),
                 outcomes: self.outcomes.into_iter().collect(),
-                evidence: most_ended(self.evidence.into_iter().collect()),
+                evidence: top_suspects(self.evidence.into_iter().collect()),
                 tallies: self.rollouts.tallies.into_iter().collect(),
-                orders: self.rollouts.ages.into_iter().collect(),
+                rollout_ages: self.rollouts.order_ages_ms.into_iter().collect(),
             },
         }
     }
 }
 
-/// The halls that a sum of other halls holds.
+/// The halls that are included in a sum.
 pub(crate) fn halls_of(sum: &Sum) -> Vec<Tag> {
     match sum.origin {
         Origin::Hall(hall) => vec![hall],
@@ -223,12 +244,12 @@
     }
 }
 
-/// Adds parts to sums by name.
+/// Adds each value to the sum under the same key.
 pub(crate) fn add<K: Copy + Eq + Hash, T: Default + AddAssign + Copy>(
     sums: &mut HashMap<K, T>,
-    parts: &[(K, T)],
+    values: &[(K, T)],
 ) {
-    for (name, part) in parts {
-        *sums.entry(*name).or_default() += *part;
+    for (key, value) in values {
+        *sums.entry(*key).or_default() += *value;
     }
 }
--- a/src/gateway/upstream.rs
+++ b/src/gateway/upstream.rs
@@ -1,75 +1,75 @@
-//! The stream of one server, as whole events.
+//! The response stream of one server, split into complete events.
 
 use crate::gateway::core::Gateway;
 use crate::gateway::events::{Event, Splitter};
-use crate::gateway::port::{Lost, Sending};
+use crate::gateway::port::{SendError, SendOptions};
 use crate::gateway::request::{AnswerBody, Call};
 use crate::gateway::servers::ServerKey;
 use crate::time;
 use http_body_util::BodyExt;
 
-/// The stream of one server.
+/// The response stream of one server.
 pub(crate) struct Upstream {
     body: AnswerBody,
     splitter: Splitter,
 }
 
-/// What comes next of a stream.
-pub(crate) enum Step {
-    /// A whole event.
+/// The next item of a stream.
+pub(crate) enum StreamItem {
+    /// A complete event.
     Event(Event),
-    /// Its end.
+    /// The stream ended between two events.
     Ended,
-    /// It broke off, with the reason.
-    Broke(String),
+    /// The stream failed or ended inside an event, with the reason.
+    BrokeOff(String),
 }
 
 impl Upstream {
-    /// A stream of which nothing has been read.
+    /// Wraps a response body of which nothing has been read.
     pub(crate) fn new(body: AnswerBody) -> Upstream {
         Upstream { body, splitter: Splitter::default() }
     }
 
-    /// The next whole event. May be dropped and called again.
-    pub(crate) async fn next(&mut self) -> Step {
+    /// Reads the next complete event. Cancel-safe: a dropped call loses no data.
+    pub(crate) async fn next(&mut self) -> StreamItem {
         loop {
             if let Some(event) = self.splitter.take() {
-                return Step::Event(event);
+                return StreamItem::Event(event);
             }
             match self.body.frame().await {
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else { continue };
                     if self.splitter.push(&data).is_err() {
-                        return Step::Broke("an event without end".into());
+                        return StreamItem::BrokeOff("an event exceeds the size limit".into());
                     }
                 }
-                Some(Err(e)) => return Step::Broke(e.reason),
-                None if self.splitter.is_inside() => {
-                    return Step::Broke("ended inside an event".into());
+                Some(Err(e)) => return StreamItem::BrokeOff(e.reason),
+                None if self.splitter.has_partial_event() => {
+                    return StreamItem::BrokeOff("the stream ended inside an event".into());
                 }
-                None => return Step::Ended,
+                None => return StreamItem::Ended,
             }
         }
     }
 }
 
-/// Sends the request of a stream that has begun to a server.
+/// Sends the request of a stream that has already begun to a server, to continue it there.
 pub(crate) async fn reopen(
     gateway: &Gateway,
     call: &Call,
     server: ServerKey,
-    sending: Sending,
+    options: SendOptions,
 ) -> Result<Upstream, String> {
     let now = time::now();
-    gateway.note_knowledge(now);
-    gateway.log_remarked(call, server, now);
-    let sent = gateway.wire.send(call, sending, None).await;
+    gateway.record_store_age(now);
+    gateway.log_server_remarks(call, server, now);
+    let sent = gateway.wire.send(call, options, None).await;
     if let Ok(reply) = &sent {
-        gateway.hear(server, &reply.remarks, now);
+        gateway.handle_remarks(server, &reply.remarks, now);
     }
     match sent {
         Ok(reply) if reply.status.is_success() => Ok(Upstream::new(reply.body)),
         Ok(reply) => Err(format!("answered {}", reply.status.as_u16())),
-        Err(Lost::Unsent { reason, .. } | Lost::Unanswered { reason }) => Err(reason),
+        Err(SendError::Unsent { reason, .. } | SendError::Unanswered { reason }) => Err(reason),
     }
 }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,4 +1,4 @@
-//! Links between daemons over QUIC: one connection for each peer, datagrams and request streams.
+//! QUIC connections between daemons: one per peer, for one-way messages and for streams that carry requests.
 
 use crate::error::{Error, Result};
 use crate::message;
@@ -18,31 +18,34 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-const CONNECT_LIMIT: Duration = Duration::from_millis(1_000);
-/// Largest request or answer, in bytes.
-const MOST_BYTES: usize = 64 << 20;
-/// Largest message that is told unasked, in bytes: one with the loads of some 20,000 servers.
+/// Time limit for connecting to a peer, for opening or sending on a stream, and for closing one.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Maximum size of a message on a bidirectional stream, in bytes.
+const MAX_STREAM_MESSAGE_BYTES: usize = 64 << 20;
+/// Maximum size of a one-way message, in bytes. Enough for the loads of about 20,000 servers.
 const MAX_MESSAGE_BYTES: usize = 512 << 10;
-/// Such messages that one peer may have on their way, each on its stream: one heartbeat follows the other.
+/// Maximum number of one-way messages that a peer may have in transit on streams. A few are enough, because
+/// heartbeats are sent one after the other.
 const MAX_CONCURRENT_MESSAGES: u32 = 4;
-const LENGTH_BYTES: usize = 4;
+/// Size of the little-endian length before each message on a bidirectional stream, in bytes.
+const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// How connections to peers are kept.
+/// Limits on the connections to peers.
 #[derive(Debug, Clone, Copy)]
 pub struct LinkLimits {
-    /// Silence after which a connection is given up, in milliseconds.
+    /// Idle timeout of a connection, in milliseconds.
     pub idle_ms: u32,
-    /// Streams open at once from one peer. quinn keeps a slot for each that it allows, on every
-    /// connection, so a generous number costs megabytes a peer.
+    /// Maximum number of concurrent bidirectional streams from one peer. quinn allocates a slot for each
+    /// allowed stream on every connection, so a high limit costs megabytes per peer.
     pub streams: u32,
 }
 
-/// Counters of what goes between daemons, by direction.
+/// Counters of the traffic between daemons, by direction.
 #[derive(Debug, Clone)]
 pub struct Traffic {
-    /// Messages.
+    /// Number of messages.
     pub messages: IntCounterVec,
-    /// Bytes.
+    /// Number of bytes.
     pub bytes: IntCounterVec,
 }
 
@@ -53,33 +56,35 @@
     }
 }
 
-/// What a daemon does with what its peers send.
+/// Handles the messages and streams that arrive from peers.
 pub trait Handler: Send + Sync + 'static {
-    /// A message came that was told unasked.
+    /// Handles a one-way message, which gets no answer.
     fn on_message(&self, bytes: &[u8]);
-    /// A stream was opened; `first` is its first message.
-    fn stream(&self, first: Vec<u8>, held: PeerStream) -> BoxFuture<'_, ()>;
+    /// Handles a stream opened by a peer, whose first message is `first_message`.
+    fn stream(&self, first_message: Vec<u8>, peer_stream: PeerStream) -> BoxFuture<'_, ()>;
 }
 
-/// A peer that gave no answer.
+/// A peer did not answer, or its answer could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NoAnswer;
 
-/// All links of one daemon.
+/// A daemon's connections to all its peers.
 pub struct Peers {
     endpoint: Endpoint,
-    links: Mutex<HashMap<SocketAddr, Connection>>,
-    /// Peers that were last not reached, or fell silent, on the way between the two usual ports. Such a
-    /// way may be silent for good, and only a new one works.
-    silent: Mutex<HashSet<SocketAddr>>,
-    cut: Mutex<HashSet<SocketAddr>>,
-    /// For connections from other ports than the one that is listened on.
+    /// Connections by the address of the peer, in both directions.
+    connections: Mutex<HashMap<SocketAddr, Connection>>,
+    /// Peers whose last connection from the listening port timed out or could not be established. That pair
+    /// of ports may stay unreachable for good, so the next attempt uses a new local port.
+    unresponsive: Mutex<HashSet<SocketAddr>>,
+    /// Peers with which communication is blocked; see [`Peers::cut`].
+    partitioned: Mutex<HashSet<SocketAddr>>,
+    /// Configuration of connections from ports other than the listening port.
     client: ClientConfig,
     traffic: Traffic,
 }
 
 impl Peers {
-    /// Listens on `addr`.
+    /// Starts listening on `addr`.
     pub fn bind(
         addr: SocketAddr,
         identity: &Identity,
@@ -101,61 +106,61 @@
         endpoint.set_default_client_config(client.clone());
         Ok(Peers {
             endpoint,
-            links: Mutex::default(),
-            silent: Mutex::default(),
-            cut: Mutex::default(),
+            connections: Mutex::default(),
+            unresponsive: Mutex::default(),
+            partitioned: Mutex::default(),
             client,
             traffic,
         })
     }
 
-    /// Where it listens.
+    /// Returns the listening address.
     pub fn addr(&self) -> Result<SocketAddr> {
         self.endpoint
             .local_addr()
             .map_err(|e| Error::Listen { addr: "peer".into(), reason: e.to_string() })
     }
 
-    /// Takes connections from peers until the endpoint closes.
+    /// Accepts connections from peers until the endpoint closes.
     pub async fn serve(self: Arc<Self>, handler: Arc<dyn Handler>) {
         while let Some(incoming) = self.endpoint.accept().await {
             let peers = self.clone();
             let handler = handler.clone();
             tokio::spawn(async move {
-                if let Ok(link) = incoming.await {
-                    peers.keep(link.clone());
-                    peers.read(link, handler).await;
+                if let Ok(connection) = incoming.await {
+                    peers.add_connection(connection.clone());
+                    peers.read(connection, handler).await;
                 }
             });
         }
     }
 
-    /// Sends a message that may be lost without harm: as a datagram, or on a stream of its own where
-    /// it is too large for one.
+    /// Sends a one-way message without a delivery guarantee: as a datagram, or on a stream of its own if it
+    /// is too large for a datagram.
     pub async fn tell(
         self: &Arc<Self>,
         to: SocketAddr,
         message: &impl Serialize,
         handler: &Arc<dyn Handler>,
     ) {
-        let Some(link) = self.link(to, handler).await else {
+        let Some(connection) = self.connection(to, handler).await else {
             return;
         };
         let bytes = message::encode(message);
         self.traffic.count("out", bytes.len());
-        let fits = link.max_datagram_size().is_some_and(|most| bytes.len() <= most);
-        let told = match fits {
-            true => link.send_datagram(bytes.into()).map_err(|e| e.to_string()),
-            false => timeout(CONNECT_LIMIT, send_on_stream(&link, &bytes))
+        let fits = connection.max_datagram_size().is_some_and(|max| bytes.len() <= max);
+        let sent = match fits {
+            true => connection.send_datagram(bytes.into()).map_err(|e| e.to_string()),
+            false => timeout(CONNECT_TIMEOUT, send_on_stream(&connection, &bytes))
                 .await
-                .unwrap_or_else(|_| Err("no stream in time".into())),
+                .unwrap_or_else(|_| Err("timed out sending on a stream".into())),
         };
-        if let Err(why) = told {
-            debug!(peer = to.to_string().as_str(), why = why.as_str(); "message not sent");
+        if let Err(why) = sent {
+            debug!(peer = to.to_string().as_str(), why = why.as_str(); "failed to send a message to a peer");
         }
     }
 
-    /// Sends a request and waits for its answer.
+    /// Sends a request and waits up to `limit` for the answer.
     pub async fn ask<A: DeserializeOwned>(
         self: &Arc<Self>,
         to: SocketAddr,
@@ -164,82 +169,87 @@
         handler: &Arc<dyn Handler>,
     ) -> Result<A, NoAnswer> {
         let exchange = async {
-            let link = self.link(to, handler).await.ok_or(NoAnswer)?;
-            let mut held = self.open(&link, request).await?;
-            held.receive().await
+            let connection = self.connection(to, handler).await.ok_or(NoAnswer)?;
+            let mut peer_stream = self.open(&connection, request).await?;
+            peer_stream.receive().await
         };
         timeout(limit, exchange).await.unwrap_or(Err(NoAnswer))
     }
 
-    /// The same for an answer that may be large: it begins within `first` and then never pauses for longer than
-    /// `pause`, however long it takes in all. Each part of it is told to `progress`.
+    /// Like [`Peers::ask`], but for answers that may be large. The answer must start within `start_timeout`
+    /// and must not stall for longer than `stall_timeout`; its total duration is not limited. Calls
+    /// `progress` for each chunk received.
     pub async fn ask_large<A: DeserializeOwned>(
         self: &Arc<Self>,
         to: SocketAddr,
         request: &impl Serialize,
-        (first, pause): (Duration, Duration),
+        (start_timeout, stall_timeout): (Duration, Duration),
         handler: &Arc<dyn Handler>,
         progress: impl Fn(),
     ) -> Result<A, NoAnswer> {
         let begin = async {
-            let link = self.link(to, handler).await.ok_or(NoAnswer)?;
-            let mut held = self.open(&link, request).await?;
-            let length = held.receive_length().await?;
-            Ok((held, length))
+            let connection = self.connection(to, handler).await.ok_or(NoAnswer)?;
+            let mut peer_stream = self.open(&connection, request).await?;
+            let length = peer_stream.receive_length().await?;
+            Ok((peer_stream, length))
         };
-        let (mut held, length) = timeout(first, begin).await.unwrap_or(Err(NoAnswer))?;
+        let (mut peer_stream, length) =
+            timeout(start_timeout, begin).await.unwrap_or(Err(NoAnswer))?;
         let mut bytes = vec![0; length];
-        let mut read = 0;
-        while read < length {
-            let part = timeout(pause, held.recv.read(&mut bytes[read..])).await;
-            let part = part.map_err(drop_reason)?.map_err(drop_reason)?;
-            read += part.ok_or(NoAnswer)?;
+        let mut received = 0;
+        while received < length {
+            let chunk = timeout(stall_timeout, peer_stream.recv.read(&mut bytes[received..])).await;
+            let chunk = chunk.map_err(discard_reason)?.map_err(discard_reason)?;
+            received += chunk.ok_or(NoAnswer)?;
             progress();
         }
-        held.traffic.count("in", length + LENGTH_BYTES);
-        message::decode(&bytes).map_err(drop_reason)
+        peer_stream.traffic.count("in", length + LENGTH_PREFIX_BYTES);
+        message::decode(&bytes).map_err(discard_reason)
     }
 
-    /// Sends a request whose stream stays open.
+    /// Sends a request and returns its stream, which stays open.
     pub async fn hold(
         self: &Arc<Self>,
         to: SocketAddr,
         request: &impl Serialize,
         handler: &Arc<dyn Handler>,
     ) -> Result<PeerStream, NoAnswer> {
-        let link = self.link(to, handler).await.ok_or(NoAnswer)?;
-        timeout(CONNECT_LIMIT, self.open(&link, request)).await.unwrap_or(Err(NoAnswer))
+        let connection = self.connection(to, handler).await.ok_or(NoAnswer)?;
+        timeout(CONNECT_TIMEOUT, self.open(&connection, request)).await.unwrap_or(Err(NoAnswer))
     }
 
+    /// Opens a stream on a connection and sends a request on it.
     async fn open(
         &self,
-        link: &Connection,
+        connection: &Connection,
         request: &impl Serialize,
     ) -> Result<PeerStream, NoAnswer> {
-        let (send, recv) = link.open_bi().await.map_err(drop_reason)?;
-        let mut held = PeerStream { send, recv, traffic: self.traffic.clone() };
-        held.send(request).await?;
-        Ok(held)
+        let (send, recv) = connection.open_bi().await.map_err(discard_reason)?;
+        let mut peer_stream = PeerStream { send, recv, traffic: self.traffic.clone() };
+        peer_stream.send(request).await?;
+        Ok(peer_stream)
     }
 
-    /// Cuts (or heals) the link to a peer, to bring about a partition.
+    /// Blocks or restores communication with a peer, to simulate a network partition.
     pub fn cut(&self, addr: SocketAddr, cut: bool) {
-        let mut set = self.cut.lock().expect("cut");
+        let mut partitioned = self.partitioned.lock().expect("partitioned");
         if cut {
-            set.insert(addr);
-            if let Some(link) = self.links.lock().expect("links").remove(&addr) {
-                link.close(VarInt::from_u32(0), b"cut");
+            partitioned.insert(addr);
+            if let Some(connection) = self.connections.lock().expect("connections").remove(&addr) {
+                connection.close(VarInt::from_u32(0), b"cut");
             }
         } else {
-            set.remove(&addr);
+            partitioned.remove(&addr);
         }
     }
 
     fn is_cut(&self, addr: SocketAddr) -> bool {
-        self.cut.lock().expect("cut").contains(&addr)
+        self.partitioned.lock().expect("partitioned").contains(&addr)
     }
 
-    async fn link(
+    /// Returns the open connection to a peer, or establishes one. `None` if the peer is blocked or
+    /// unreachable.
+    async fn connection(
         self: &Arc<Self>,
         to: SocketAddr,
         handler: &Arc<dyn Handler>,
@@ -247,74 +257,79 @@
         if self.is_cut(to) {
             return None;
         }
-        let known = self.links.lock().expect("links").get(&to).cloned();
-        match known.as_ref().map(Connection::close_reason) {
-            Some(None) => return known,
+        let existing = self.connections.lock().expect("connections").get(&to).cloned();
+        match existing.as_ref().map(Connection::close_reason) {
+            Some(None) => return existing,
             Some(Some(ConnectionError::TimedOut)) => {
-                self.links.lock().expect("links").remove(&to);
-                self.silent.lock().expect("silent").insert(to);
+                self.connections.lock().expect("connections").remove(&to);
+                self.unresponsive.lock().expect("unresponsive").insert(to);
             }
             _ => {}
         }
-        let link = self.connect(to).await?;
-        self.keep(link.clone());
-        tokio::spawn(self.clone().read_owned(link.clone(), handler.clone()));
-        Some(link)
+        let connection = self.connect(to).await?;
+        self.add_connection(connection.clone());
+        tokio::spawn(self.clone().read_owned(connection.clone(), handler.clone()));
+        Some(connection)
     }
 
-    /// Connects from the usual port, or from a new one where that way was silent the last time.
+    /// Connects from the listening port, or from a new port if the peer did not respond to the listening port
+    /// last time.
     async fn connect(&self, to: SocketAddr) -> Option<Connection> {
-        let was_silent = self.silent.lock().expect("silent").remove(&to);
-        let endpoint = if was_silent { self.on_new_port()? } else { self.endpoint.clone() };
+        let was_unresponsive = self.unresponsive.lock().expect("unresponsive").remove(&to);
+        let endpoint =
+            if was_unresponsive { self.endpoint_on_new_port()? } else { self.endpoint.clone() };
         let connecting = endpoint.connect(to, NAME).ok()?;
-        let link = timeout(CONNECT_LIMIT, connecting).await.ok().and_then(Result::ok);
-        if link.is_none() && !was_silent {
-            self.silent.lock().expect("silent").insert(to);
+        let connection = timeout(CONNECT_TIMEOUT, connecting).await.ok().and_then(Result::ok);
+        if connection.is_none() && !was_unresponsive {
+            self.unresponsive.lock().expect("unresponsive").insert(to);
         }
-        link
+        connection
     }
 
-    /// An endpoint that lasts as long as its connections.
-    fn on_new_port(&self) -> Option<Endpoint> {
+    /// Opens an endpoint on a new port. It lives as long as its connections.
+    fn endpoint_on_new_port(&self) -> Option<Endpoint> {
         let ip = self.endpoint.local_addr().ok()?.ip();
         let bound = Endpoint::client(SocketAddr::new(ip, 0));
         let mut endpoint = bound
-            .inspect_err(|e| warn!(why = e.to_string().as_str(); "no new port for a peer"))
+            .inspect_err(
+                |e| warn!(why = e.to_string().as_str(); "failed to open a new port to a peer"),
+            )
             .ok()?;
         endpoint.set_default_client_config(self.client.clone());
         Some(endpoint)
     }
 
-    fn keep(&self, link: Connection) {
-        let mut links = self.links.lock().expect("links");
-        links.retain(|_, l| l.close_reason().is_none());
-        links.insert(link.remote_address(), link);
+    /// Stores a connection under the address of its peer and removes closed ones.
+    fn add_connection(&self, connection: Connection) {
+        let mut connections = self.connections.lock().expect("connections");
+        connections.retain(|_, c| c.close_reason().is_none());
+        connections.insert(connection.remote_address(), connection);
     }
 
-    async fn read_owned(self: Arc<Self>, link: Connection, handler: Arc<dyn Handler>) {
-        self.read(link, handler).await;
+    async fn read_owned(self: Arc<Self>, connection: Connection, handler: Arc<dyn Handler>) {
+        self.read(connection, handler).await;
     }
 
-    /// Reads one connection until it closes.
-    async fn read(self: &Arc<Self>, link: Connection, handler: Arc<dyn Handler>) {
-        let from = link.remote_address();
+    /// Handles the incoming messages and streams of a connection until it closes.
+    async fn read(self: &Arc<Self>, connection: Connection, handler: Arc<dyn Handler>) {
+        let from = connection.remote_address();
         loop {
             tokio::select! {
-                datagram = link.read_datagram() => {
+                datagram = connection.read_datagram() => {
                     let Ok(bytes) = datagram else { return };
                     self.receive(from, &bytes, &*handler);
                 }
-                stream = link.accept_uni() => {
+                stream = connection.accept_uni() => {
                     let Ok(mut recv) = stream else { return };
                     let (peers, handler) = (self.clone(), handler.clone());
                     tokio::spawn(async move {
                         match recv.read_to_end(MAX_MESSAGE_BYTES).await {
                             Ok(bytes) => peers.receive(from, &bytes, &*handler),
-                            Err(e) => debug!(peer = from.to_string().as_str(), why = e.to_string().as_str(); "message not received"),
+                            Err(e) => debug!(peer = from.to_string().as_str(), why = e.to_string().as_str(); "failed to receive a message from a peer"),
                         }
                     });
                 }
-                stream = link.accept_bi() => {
+                stream = connection.accept_bi() => {
                     let Ok((send, recv)) = stream else { return };
                     if !self.is_cut(from) {
                         tokio::spawn(self.clone().answer(send, recv, handler.clone()));
@@ -324,7 +339,7 @@
         }
     }
 
-    /// A message came, as a datagram or on a stream of its own.
+    /// Passes a one-way message to the handler, unless communication with the sender is blocked.
     fn receive(&self, from: SocketAddr, bytes: &[u8], handler: &dyn Handler) {
         self.traffic.count("in", bytes.len());
         if !self.is_cut(from) {
@@ -332,27 +347,28 @@
         }
     }
 
+    /// Reads the first message of a stream opened by a peer and passes both to the handler.
     async fn answer(
         self: Arc<Self>,
         send: SendStream,
         recv: RecvStream,
         handler: Arc<dyn Handler>,
     ) {
-        let mut held = PeerStream { send, recv, traffic: self.traffic.clone() };
-        if let Ok(first) = held.receive_bytes().await {
-            handler.stream(first, held).await;
+        let mut peer_stream = PeerStream { send, recv, traffic: self.traffic.clone() };
+        if let Ok(first_message) = peer_stream.receive_bytes().await {
+            handler.stream(first_message, peer_stream).await;
         }
     }
 }
 
-/// Sends a message on a stream of its own.
-async fn send_on_stream(link: &Connection, bytes: &[u8]) -> Result<(), String> {
-    let mut stream = link.open_uni().await.map_err(|e| e.to_string())?;
+/// Sends a one-way message on a new unidirectional stream.
+async fn send_on_stream(connection: &Connection, bytes: &[u8]) -> Result<(), String> {
+    let mut stream = connection.open_uni().await.map_err(|e| e.to_string())?;
     stream.write_all(bytes).await.map_err(|e| e.to_string())?;
     stream.finish().map_err(|e| e.to_string())
 }
 
-/// A stream to a peer that carries messages both ways, each behind its length.
+/// A bidirectional stream to a peer. Each message is preceded by its length.
 pub struct PeerStream {
     send: SendStream,
     recv: RecvStream,
@@ -360,44 +376,45 @@
 }
 
 impl PeerStream {
-    /// Sends a message.
+    /// Sends a message on the stream.
     pub async fn send(&mut self, message: &impl Serialize) -> Result<(), NoAnswer> {
         let body = message::encode(message);
         let mut bytes = (body.len() as u32).to_le_bytes().to_vec();
         bytes.extend(body);
         self.traffic.count("out", bytes.len());
-        self.send.write_all(&bytes).await.map_err(drop_reason)
+        self.send.write_all(&bytes).await.map_err(discard_reason)
     }
 
-    /// Receives a message. Not to be given up halfway, except to end the stream.
+    /// Receives the next message. Not cancel-safe: if the future is dropped midway, the stream cannot be read
+    /// any further.
     pub async fn receive<T: DeserializeOwned>(&mut self) -> Result<T, NoAnswer> {
         let bytes = self.receive_bytes().await?;
-        message::decode(&bytes).map_err(drop_reason)
+        message::decode(&bytes).map_err(discard_reason)
     }
 
     async fn receive_length(&mut self) -> Result<usize, NoAnswer> {
-        let mut length = [0; LENGTH_BYTES];
-        self.recv.read_exact(&mut length).await.map_err(drop_reason)?;
+        let mut length = [0; LENGTH_PREFIX_BYTES];
+        self.recv.read_exact(&mut length).await.map_err(discard_reason)?;
         let length = u32::from_le_bytes(length) as usize;
-        if length <= MOST_BYTES { Ok(length) } else { Err(NoAnswer) }
+        if length <= MAX_STREAM_MESSAGE_BYTES { Ok(length) } else { Err(NoAnswer) }
     }
 
     async fn receive_bytes(&mut self) -> Result<Vec<u8>, NoAnswer> {
         let length = self.receive_length().await?;
         let mut bytes = vec![0; length];
-        self.recv.read_exact(&mut bytes).await.map_err(drop_reason)?;
-        self.traffic.count("in", length + LENGTH_BYTES);
+        self.recv.read_exact(&mut bytes).await.map_err(discard_reason)?;
+        self.traffic.count("in", length + LENGTH_PREFIX_BYTES);
         Ok(bytes)
     }
 
-    /// Says that nothing more comes and waits until the peer has it all.
+    /// Closes the sending side and waits, for a limited time, until the peer has received everything.
     pub async fn finish(&mut self) {
         if self.send.finish().is_ok() {
-            let _ = timeout(CONNECT_LIMIT, self.send.stopped()).await;
+            let _ = timeout(CONNECT_TIMEOUT, self.send.stopped()).await;
         }
     }
 }
 
-fn drop_reason<E>(_: E) -> NoAnswer {
+fn discard_reason<E>(_: E) -> NoAnswer {
     NoAnswer
 }
--- a/tests/common/servers.rs
+++ b/tests/common/servers.rs
@@ -10,8 +10,8 @@
     token_bytes: 131_072,
     link_mbps: 19_000.0,
     event_tokens: 4,
-    moves: true,
-    backups: true,
+    supports_moves: true,
+    supports_backups: true,
 };
 
 /// Adds a server of the service `model`, called `i-` and a number, on which this daemon has so much.
@@ -19,7 +19,7 @@
     let id = format!("i-{number}");
     let record = ServerRecord {
         id: id.as_str().into(),
-        born: None,
+        started_ms: None,
         service: "model".into(),
         version: "v1".into(),
         addr: "127.0.0.1:9".parse().expect("an address"),
@@ -30,6 +30,6 @@
     };
     servers.upsert(record, std::time::Instant::now());
     let key = servers.find(&id).expect("it was just added");
-    servers.begin(key, load);
+    servers.add_load(key, load);
     key
 }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -20,7 +20,7 @@
 use tidestair::gateway::clock::Echo;
 use tidestair::gateway::fingerprint::Fingerprint;
 use tidestair::gateway::heartbeat::{self, DaemonStats, Origin, Sum};
-use tidestair::gateway::limit::Said;
+use tidestair::gateway::limit::LimitReport;
 use tidestair::gateway::outcomes::Outcomes;
 use tidestair::gateway::quarantine::Evidence;
 use tidestair::gateway::rollout::tally::Tally;
@@ -28,7 +28,7 @@
 use tidestair::gateway::roster::Daemon;
 use tidestair::gateway::servers::{Load, Observations, ServerRecord};
 use tidestair::gateway::tag::Tag;
-use tidestair::gateway::update::{Cell, Content, CopyStatus, Retained, Update};
+use tidestair::gateway::update::{Content, CopyStatus, KeyUpdate, Retained, Update};
 use tidestair::journal::Journal;
 use tidestair::member;
 use tidestair::message::{self, Item, PlaceAsk, PlaceReply, PlaceUpdate, Reply};
@@ -97,15 +97,24 @@
 
 fn told() -> DaemonStats {
     DaemonStats {
-        loads: vec![(tag(11), Load { runs: 12, tokens: 13, reading: 14, once: 15, arriving: 16 })],
-        spent: vec![(tag(17), Spent { requests: 18, repeats: 19 })],
+        loads: vec![(
+            tag(11),
+            Load {
+                runs: 12,
+                tokens: 13,
+                unread_prompt: 14,
+                non_repeatable: 15,
+                incoming_copies: 16,
+            },
+        )],
+        spent: vec![(tag(17), Spent { requests: 18, retries: 19 })],
         outcomes: vec![(tag(20), Outcomes { tried: 2.5, failed: 1.5 })],
         evidence: vec![(
             fingerprint(),
             Evidence { ended: BTreeMap::from([(tag(21), 2)]), survived: true },
         )],
         tallies: vec![(stratum(0), tally()), (stratum(1), Tally::default())],
-        orders: vec![(tag(22), 23)],
+        rollout_ages: vec![(tag(22), 23)],
     }
 }
 
@@ -122,8 +131,8 @@
 fn sum(origin: Origin) -> Sum {
     Sum {
         origin,
-        maker: 41,
-        made: 42,
+        boot: 41,
+        stamp: 42,
         age_ms: 43,
         members: vec![tag(44), tag(45)],
         daemons: 46,
@@ -135,19 +144,19 @@
 fn statement() -> CopyStatus {
     CopyStatus {
         position: Position::new(1, 51),
-        changed: Position::new(2, 52),
-        servers: Position::new(3, 53),
-        servers_changed: Position::new(4, 54),
-        since: Position::new(5, 55),
+        last_change: Position::new(2, 52),
+        servers_position: Position::new(3, 53),
+        last_server_change: Position::new(4, 54),
+        deletions_known_after: Position::new(5, 55),
         age_ms: 56,
-        retained: 57,
+        retained_checksum: 57,
     }
 }
 
 fn server() -> ServerRecord {
     ServerRecord {
         id: "i-1".into(),
-        born: Some(61),
+        started_ms: Some(61),
         service: "s".into(),
         version: "v2".into(),
         addr: addr(9001),
@@ -164,13 +173,13 @@
         daemon: daemon(),
         boot: 1,
         stamp: 2,
-        echo: Some(Echo { boot: 3, stamp: 4, held: 5 }),
+        echo: Some(Echo { boot: 3, stamp: 4, held_us: 5 }),
         ready: true,
-        pause_ms: 6,
-        chosen: false,
+        interval_ms: 6,
+        expects_reply: false,
         copy_status: Some(statement()),
-        read_ms: Some(7),
-        failed_ms: Some(8),
+        store_read_age_ms: Some(7),
+        store_failure_age_ms: Some(8),
         cell: cell(),
         stats: told(),
         sums: vec![sum(Origin::Cell(cell())), sum(Origin::Hall(tag(24))), sum(Origin::OtherHalls)],
@@ -178,22 +187,22 @@
             leaving: vec![tag(25)],
             refusing: vec![(tag(26), 27)],
             limits: vec![
-                (tag(28), Said { rate: Some(1.5), age_ms: 29 }),
-                (tag(30), Said { rate: None, age_ms: 31 }),
+                (tag(28), LimitReport { rate: Some(1.5), age_ms: 29 }),
+                (tag(30), LimitReport { rate: None, age_ms: 31 }),
             ],
         },
-        others: vec![addr(7201)],
+        peer_addrs: vec![addr(7201)],
     };
     keeps("gateway-heartbeat.hex", &[heartbeat]);
 }
 
 #[test]
 fn requests_between_daemons_of_the_gateway() {
-    use heartbeat::Request::{After, AllAfter, Quota};
+    use heartbeat::Request::{AllAfter, Quota, SmallAfter};
     let position = Position::new(1, 71);
     keeps(
         "gateway-request.hex",
-        &[After(position), AllAfter(position), Quota(vec![tag(72), tag(73)])],
+        &[SmallAfter(position), AllAfter(position), Quota(vec![tag(72), tag(73)])],
     );
 }
 
@@ -201,25 +210,25 @@
 fn updates_of_a_peers_copy() {
     let contents =
         [Content::Deleted, Content::Value(b"{}".as_slice().into()), Content::Server(server())];
-    let cell = |content: &Content| Cell {
+    let cell = |content: &Content| KeyUpdate {
         key: "servers/i-1".into(),
         revision: Position::new(1, 81),
-        mattered: Position::new(2, 82),
+        last_significant: Position::new(2, 82),
         content: content.clone(),
     };
     let retained = |left_ms| Retained {
         key: "op/config".into(),
         content: Content::Value(b"{}".as_slice().into()),
         position: Position::new(3, 83),
-        over: Position::new(4, 84),
-        left_ms,
+        overridden: Position::new(4, 84),
+        remaining_ms: left_ms,
     };
     let update = Update {
         copy_status: statement(),
         full: true,
         complete: false,
-        base: Position::new(5, 85),
-        cells: contents.iter().map(cell).collect(),
+        first_read: Position::new(5, 85),
+        keys: contents.iter().map(cell).collect(),
         retained: vec![retained(None), retained(Some(86))],
     };
     keeps("gateway-update.hex", &[Some(update), None]);
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -4,12 +4,12 @@
 use proptest::prelude::*;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tidestair::gateway::budget::{BudgetBounds, Others, Repeat, RepeatBudget, Spent};
+use tidestair::gateway::budget::{BudgetBounds, Others, RetryKind, SharedRetryBudget, Spent};
 use tidestair::gateway::events::Splitter;
-use tidestair::gateway::in_force::{Declared, InForce};
+use tidestair::gateway::in_force::{DeclaredConfig, InForce};
 use tidestair::gateway::servers::{Load, Observations, PeerStats, ServerRecord, Servers};
 use tidestair::gateway::table::{
-    Homes, Limits, Route, RouteKind, Service, Table, Target, Workspace,
+    Limits, RegionList, Route, RouteKind, Service, Table, Target, Workspace,
 };
 use tidestair::gateway::tag::Tag;
 use tidestair::platform::Position;
@@ -17,8 +17,8 @@
 const LIMITS: Limits = Limits {
     header_bytes: 1_000,
     body_bytes: 1_000,
-    header_time: Duration::from_secs(1),
-    idle_time: Duration::from_secs(1),
+    header_timeout: Duration::from_secs(1),
+    idle_timeout: Duration::from_secs(1),
 };
 
 /// A position of a store that never went back.
@@ -26,13 +26,13 @@
     Position::new(0, revision)
 }
 
-fn declared(revision: u64) -> Declared {
+fn declared(revision: u64) -> DeclaredConfig {
     version_at(revision, at(revision))
 }
 
-fn version_at(version: u64, position: Position) -> Declared {
+fn version_at(version: u64, position: Position) -> DeclaredConfig {
     let table = Table::new(version, LIMITS, Vec::new(), Vec::new(), Vec::new());
-    Declared { position, table: Arc::new(table) }
+    DeclaredConfig { position, table: Arc::new(table) }
 }
 
 fn ms(n: u64) -> Duration {
@@ -42,25 +42,31 @@
 #[test]
 fn a_configuration_is_never_replaced_by_an_older_one() {
     let (in_force, now) = (InForce::default(), Instant::now());
-    assert!(in_force.take(declared(5), now));
-    assert!(!in_force.take(declared(5), now));
-    assert!(!in_force.take(declared(4), now + ms(1)));
+    assert!(in_force.set_if_newer(declared(5), now));
+    assert!(!in_force.set_if_newer(declared(5), now));
+    assert!(!in_force.set_if_newer(declared(4), now + ms(1)));
     assert_eq!(in_force.position(), at(5));
-    assert!(in_force.take(declared(6), now));
+    assert!(in_force.set_if_newer(declared(6), now));
 }
 
 /// Guards against a version that comes back with a store that lost the ones after it.
 #[test]
 fn a_store_that_goes_back_does_not_bring_an_older_version_back() {
     let (in_force, now) = (InForce::default(), Instant::now());
-    assert!(in_force.take(version_at(25, Position::new(0, 40)), now));
-    assert!(!in_force.take(version_at(22, Position::new(1, 30)), now), "older, from the copy");
-    assert!(!in_force.take(version_at(24, Position::new(1, 41)), now), "written again in order");
-    assert!(in_force.take(version_at(25, Position::new(1, 42)), now), "written again");
-    assert!(!in_force.take(version_at(25, Position::new(0, 90)), now), "of an earlier era");
-    assert!(in_force.take(version_at(27, Position::new(1, 43)), now));
-    assert!(in_force.take(version_at(30, Position::new(0, 90)), now), "kept by a peer");
-    assert!(!in_force.take(version_at(29, Position::new(1, 44)), now));
+    assert!(in_force.set_if_newer(version_at(25, Position::new(0, 40)), now));
+    assert!(
+        !in_force.set_if_newer(version_at(22, Position::new(1, 30)), now),
+        "older, from the copy"
+    );
+    assert!(
+        !in_force.set_if_newer(version_at(24, Position::new(1, 41)), now),
+        "written again in order"
+    );
+    assert!(in_force.set_if_newer(version_at(25, Position::new(1, 42)), now), "written again");
+    assert!(!in_force.set_if_newer(version_at(25, Position::new(0, 90)), now), "of an earlier era");
+    assert!(in_force.set_if_newer(version_at(27, Position::new(1, 43)), now));
+    assert!(in_force.set_if_newer(version_at(30, Position::new(0, 90)), now), "kept by a peer");
+    assert!(!in_force.set_if_newer(version_at(29, Position::new(1, 44)), now));
     assert_eq!(in_force.position(), Position::new(0, 90));
 }
 
@@ -70,7 +76,7 @@
     assert_eq!(in_force.age(start), None);
     in_force.confirm(at(0), start);
     assert_eq!(in_force.age(start), None, "nothing is in force");
-    in_force.take(declared(5), start);
+    in_force.set_if_newer(declared(5), start);
     in_force.confirm(at(4), start + ms(500));
     assert_eq!(in_force.age(start + ms(700)), Some(ms(700)));
     in_force.confirm(at(5), start + ms(500));
@@ -89,13 +95,13 @@
         kind: RouteKind::Safe,
         resumable: false,
         timeout: ms(1_000),
-        aim: ms(100),
-        gap_aim: None,
+        latency_slo: ms(100),
+        gap_slo: None,
         priority: 1,
-        attempts: 2,
+        max_attempts: 2,
         anonymous: true,
         targets: weights.iter().enumerate().map(target).collect(),
-        homes: Homes::default(),
+        allowed_regions: RegionList::default(),
     }
 }
 
@@ -106,8 +112,8 @@
         route("long", "a.example", "/x/y/", &[1]),
         route("other", "b.example", "/x/y/", &[1]),
     ];
-    let (priority, keys, homes) = (None, vec!["k".into()], Homes::default());
-    let workspace = Workspace { name: "w".into(), priority, keys, homes };
+    let (priority, keys, homes) = (None, vec!["k".into()], RegionList::default());
+    let workspace = Workspace { name: "w".into(), priority, keys, allowed_regions: homes };
     let table = Table::new(1, LIMITS, routes, Vec::<Service>::new(), vec![workspace]);
     let found = |host, path| table.route(host, path).map(|r| r.name.clone());
     assert_eq!(found("a.example", "/x/y/z").as_deref(), Some("long"));
@@ -134,27 +140,27 @@
 const BOUNDS: BudgetBounds =
     BudgetBounds { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) };
 
-fn spend(budget: &mut RepeatBudget, service: &Arc<str>, kind: Repeat, now: Instant) -> u32 {
-    (0..1_000).take_while(|_| budget.take(service, kind, now)).count() as u32
+fn spend(budget: &mut SharedRetryBudget, service: &Arc<str>, kind: RetryKind, now: Instant) -> u32 {
+    (0..1_000).take_while(|_| budget.spend(service, kind, now)).count() as u32
 }
 
 #[test]
 fn repeats_are_bounded_by_requests_and_slack_and_come_back_with_the_window() {
     let (now, service) = (Instant::now(), Arc::<str>::from("app"));
-    let mut budget = RepeatBudget::new(BOUNDS, now);
+    let mut budget = SharedRetryBudget::new(BOUNDS, now);
     for _ in 0..100 {
-        budget.request(&service, now);
+        budget.record_request(&service, now);
     }
-    let first = spend(&mut budget, &service, Repeat::Retry, now);
+    let first = spend(&mut budget, &service, RetryKind::Retry, now);
     assert!(first > 0 && f64::from(first) < 0.2 * 100.0 + 50.0);
     assert!(
-        spend(&mut budget, &service, Repeat::Continuation, now) > 0,
+        spend(&mut budget, &service, RetryKind::Continuation, now) > 0,
         "kept for running requests"
     );
-    assert_eq!(spend(&mut budget, &service, Repeat::Retry, now + ms(9_000)), 0);
-    assert!(spend(&mut budget, &service, Repeat::Retry, now + ms(11_000)) > 0);
+    assert_eq!(spend(&mut budget, &service, RetryKind::Retry, now + ms(9_000)), 0);
+    assert!(spend(&mut budget, &service, RetryKind::Retry, now + ms(11_000)) > 0);
     assert!(
-        spend(&mut budget, &Arc::from("other"), Repeat::Retry, now) > 0,
+        spend(&mut budget, &Arc::from("other"), RetryKind::Retry, now) > 0,
         "each service by itself"
     );
 }
@@ -164,10 +170,10 @@
     let (now, service) = (Instant::now(), Arc::<str>::from("app"));
     let mut total = 0;
     for _ in 0..daemons {
-        let mut budget = RepeatBudget::new(BOUNDS, now);
+        let mut budget = SharedRetryBudget::new(BOUNDS, now);
         let others = Others { daemons: daemons - 1, reachable: heard, ..Others::default() };
         budget.set_others(others);
-        total += spend(&mut budget, &service, Repeat::Continuation, now);
+        total += spend(&mut budget, &service, RetryKind::Continuation, now);
     }
     total
 }
@@ -182,18 +188,18 @@
 #[test]
 fn what_others_have_spent_counts() {
     let (now, service) = (Instant::now(), Arc::<str>::from("app"));
-    let mut budget = RepeatBudget::new(BOUNDS, now);
-    let spent = [(Tag::of("app"), Spent { requests: 0, repeats: 34 })];
+    let mut budget = SharedRetryBudget::new(BOUNDS, now);
+    let spent = [(Tag::of("app"), Spent { requests: 0, retries: 34 })];
     let spent = spent.into();
     budget.set_others(Others { daemons: 1, reachable: 1, spent, ..Others::default() });
-    let own = spend(&mut budget, &service, Repeat::Continuation, now);
+    let own = spend(&mut budget, &service, RetryKind::Continuation, now);
     assert!(own + 34 <= 50 && own <= 1, "{own}");
 }
 
 fn record(id: &str, leaving: bool) -> ServerRecord {
     ServerRecord {
         id: id.into(),
-        born: None,
+        started_ms: None,
         service: "app".into(),
         version: "v1".into(),
         addr: "127.0.0.1:9".parse().unwrap(),
@@ -222,13 +228,14 @@
     let (mut servers, now) = (Servers::default(), Instant::now());
     servers.upsert(record("i-1", false), now);
     let key = servers.find("i-1").unwrap();
-    let load = Load { runs: 1, tokens: 10, reading: 5, once: 10, arriving: 0 };
-    servers.begin(key, load);
+    let load =
+        Load { runs: 1, tokens: 10, unread_prompt: 5, non_repeatable: 10, incoming_copies: 0 };
+    servers.add_load(key, load);
     servers.remove("i-1");
     assert_eq!(servers.open("app").count(), 0);
     assert!(servers.get(key).is_some());
     assert_eq!(servers.own_loads(), [(Tag::of("i-1"), load)]);
-    servers.end(key, load);
+    servers.remove_load(key, load);
     assert!(servers.get(key).is_none());
 }
 
@@ -238,7 +245,7 @@
     servers.upsert(record("i-1", false), now);
     let key = servers.find("i-1").unwrap();
     for _ in 0..20 {
-        servers.judge(key, true, now);
+        servers.record_outcome(key, true, now);
     }
     let rate = |at| servers.get(key).unwrap().failure_rate(at);
     assert!(rate(now) > 0.9);
@@ -257,17 +264,17 @@
     let now = Instant::now();
     let mut servers = one_server(now);
     let key = servers.find("i-1").unwrap();
-    let passed_over = |servers: &Servers, at| servers.get(key).unwrap().is_passed_over(at);
-    servers.not_reached(key, false, now);
+    let passed_over = |servers: &Servers, at| servers.get(key).unwrap().is_skipped(at);
+    servers.note_unreachable(key, false, now);
     assert!(passed_over(&servers, now + ms(400)));
     assert!(!passed_over(&servers, now + ms(500)));
-    servers.not_reached(key, false, now + ms(500));
+    servers.note_unreachable(key, false, now + ms(500));
     assert!(passed_over(&servers, now + ms(1_400)), "twice as long");
     for _ in 0..40 {
-        servers.not_reached(key, false, now);
+        servers.note_unreachable(key, false, now);
     }
     assert!(!passed_over(&servers, now + ms(4_000)), "but never for ever");
-    servers.judge(key, false, now);
+    servers.record_outcome(key, false, now);
     assert!(!passed_over(&servers, now));
 }
 
@@ -276,21 +283,21 @@
     let now = Instant::now();
     let (mut told, mut hears) = (one_server(now), one_server(now));
     let key = told.find("i-1").unwrap();
-    told.not_reached(key, false, now);
+    told.note_unreachable(key, false, now);
     assert_eq!(
         told.observations(now),
         Observations::default(),
         "a silent server may be cut off from one daemon only"
     );
-    told.not_reached(key, true, now);
+    told.note_unreachable(key, true, now);
     let signs = told.observations(now + ms(300));
     hears.merge_observations(&signs, None, now + ms(300));
     let key = hears.find("i-1").unwrap();
-    assert!(!hears.get(key).unwrap().is_passed_over(now + ms(300)), "it can't be dated");
+    assert!(!hears.get(key).unwrap().is_skipped(now + ms(300)), "it can't be dated");
     // On its way for a while: what passes is counted from its sending.
     hears.merge_observations(&signs, Some(now + ms(300)), now + ms(350));
-    assert!(hears.get(key).unwrap().is_passed_over(now + ms(900)));
-    assert!(!hears.get(key).unwrap().is_passed_over(now + ms(1_000)));
+    assert!(hears.get(key).unwrap().is_skipped(now + ms(900)));
+    assert!(!hears.get(key).unwrap().is_skipped(now + ms(1_000)));
 }
 
 #[test]
@@ -299,7 +306,7 @@
     let mut fleet: Vec<Servers> = (0..5).map(|_| one_server(now)).collect();
     let key = |servers: &Servers| servers.find("i-1").unwrap();
     let first = key(&fleet[0]);
-    fleet[0].not_reached(first, true, now);
+    fleet[0].note_unreachable(first, true, now);
     let told = fleet[0].observations(now).refusing[0].1;
     // Each heartbeat is on its way for 20 ms, which its receiver may not know.
     for round in 0..40u32 {
@@ -311,8 +318,8 @@
     let until = now + ms(u64::from(told));
     for servers in &fleet {
         let server = servers.get(key(servers)).unwrap();
-        assert!(server.is_passed_over(until - ms(5)));
-        assert!(!server.is_passed_over(until));
+        assert!(server.is_skipped(until - ms(5)));
+        assert!(!server.is_skipped(until));
     }
 }
 
@@ -326,14 +333,14 @@
     let now = Instant::now();
     let (mut told, mut hears) = (one_server(now), one_server(now));
     let key = |servers: &Servers| servers.find("i-1").unwrap();
-    told.judge(key(&told), true, now);
-    hears.set_others(&heard(&told, now));
+    told.record_outcome(key(&told), true, now);
+    hears.set_peer_stats(&heard(&told, now));
     let rate = |servers: &Servers| servers.get(key(servers)).unwrap().failure_rate(now);
     assert!(rate(&hears) >= 0.5, "{}", rate(&hears));
     assert!(
         hears.own_outcomes(now).iter().any(|(tag, own)| *tag == Tag::of("i-1") && own.tried == 0.0)
     );
-    hears.set_others(&PeerStats::default());
+    hears.set_peer_stats(&PeerStats::default());
     assert_eq!(rate(&hears), 0.0, "the daemon is no longer heard");
 }
 
@@ -342,13 +349,13 @@
     let now = Instant::now();
     let (mut cut_off, mut sees) = (one_server(now), one_server(now));
     let key = sees.find("i-1").unwrap();
-    (0..19).for_each(|_| sees.judge(key, false, now));
+    (0..19).for_each(|_| sees.record_outcome(key, false, now));
     assert_eq!(sees.own_outcomes(now), [], "where nothing fails, nothing is told");
-    cut_off.judge(cut_off.find("i-1").unwrap(), true, now);
-    sees.set_others(&heard(&cut_off, now));
+    cut_off.record_outcome(cut_off.find("i-1").unwrap(), true, now);
+    sees.set_peer_stats(&heard(&cut_off, now));
     let rate = sees.get(key).unwrap().failure_rate(now);
     assert!(rate < 0.06, "{rate}");
-    cut_off.set_others(&heard(&sees, now));
+    cut_off.set_peer_stats(&heard(&sees, now));
     let rate = cut_off.get(cut_off.find("i-1").unwrap()).unwrap().failure_rate(now);
     assert!(rate < 0.06, "the sound exchanges are told once a failure was: {rate}");
 }
@@ -357,7 +364,7 @@
 fn a_leaving_that_the_store_does_not_tell_is_told_to_peers() {
     let now = Instant::now();
     let (mut told, mut hears) = (one_server(now), one_server(now));
-    told.leaves(told.find("i-1").unwrap(), now);
+    told.mark_leaving(told.find("i-1").unwrap(), now);
     assert_eq!(told.observations(now).leaving, [Tag::of("i-1")]);
     hears.merge_observations(&told.observations(now), Some(now), now);
     assert_eq!(hears.open("app").count(), 0);
@@ -394,7 +401,7 @@
                 got.push((event.id, event.bytes));
             }
         }
-        prop_assert!(!splitter.is_inside());
+        prop_assert!(!splitter.has_partial_event());
         // A later line of the text may be an id itself, and one without a number.
         let names_itself = |t: &String| t.split('\n').skip(1).any(|line| line.starts_with("id:"));
         let id = |i: usize| (!names_itself(&texts[i])).then_some(i as u64);
@@ -412,7 +419,7 @@
             taken += event.bytes.len();
         }
         prop_assert!(taken <= bytes.len());
-        prop_assert_eq!(splitter.is_inside(), taken < bytes.len());
+        prop_assert_eq!(splitter.has_partial_event(), taken < bytes.len());
     }
 }
 
--- a/tests/herd.rs
+++ b/tests/herd.rs
@@ -12,7 +12,7 @@
 use servers::{ENGINE, add_server};
 use std::time::Instant;
 use tidestair::gateway::place::{
-    ALIKE, Candidate, Headroom, PlacementRequest, Placing, UNSEEN_COST,
+    COST_TOLERANCE, Candidate, Headroom, PlacementPolicy, PlacementRequest, STALE_REMOTE_HALL_COST,
 };
 use tidestair::gateway::servers::{Load, Servers};
 use tidestair::gateway::table::Engine;
@@ -22,7 +22,13 @@
 /// Servers of a hall.
 const SERVERS: usize = 15;
 /// A draft's prompt with its answer.
-const REQUEST: Load = Load { runs: 1, tokens: 3_540, reading: 3_079, once: 3_540, arriving: 0 };
+const REQUEST: Load = Load {
+    runs: 1,
+    tokens: 3_540,
+    unread_prompt: 3_079,
+    non_repeatable: 3_540,
+    incoming_copies: 0,
+};
 /// Plays, over which the figures are means.
 const PLAYS: usize = 200;
 const SEED: u64 = 7;
@@ -63,7 +69,14 @@
 
 fn request(unseen: f64) -> PlacementRequest<'static> {
     let engine = Some(&LARGE);
-    PlacementRequest { hall: "here", far: UNSEEN_COST, alike: ALIKE, unseen, load: REQUEST, engine }
+    PlacementRequest {
+        hall: "here",
+        remote_cost: STALE_REMOTE_HALL_COST,
+        cost_tolerance: COST_TOLERANCE,
+        unreported_requests: unseen,
+        load: REQUEST,
+        engine,
+    }
 }
 
 #[test]
--- a/tests/limits/play.rs
+++ b/tests/limits/play.rs
@@ -7,8 +7,8 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tidestair::gateway::budget::{BudgetBounds, RepeatBudget, Spent};
-use tidestair::gateway::cell::first_of_halls;
+use tidestair::gateway::budget::{BudgetBounds, SharedRetryBudget, Spent};
+use tidestair::gateway::cell::first_in_each_hall;
 use tidestair::gateway::cold::Rank;
 use tidestair::gateway::heartbeat::DaemonStats;
 use tidestair::gateway::limit::{CellShare, Limit, LimitRemark, Share};
@@ -29,9 +29,9 @@
     [(3, 2, 36.0), (4, 4, 100.0), (4, 15, 150.0), (6, 49, 190.0)];
 pub const SERVICE: &str = "model";
 
-pub fn budget(now: Instant) -> RepeatBudget {
+pub fn budget(now: Instant) -> SharedRetryBudget {
     let window = Duration::from_secs(10);
-    RepeatBudget::new(BudgetBounds { ratio: 0.2, slack: 50.0, window }, now)
+    SharedRetryBudget::new(BudgetBounds { ratio: 0.2, slack: 50.0, window }, now)
 }
 
 /// How a daemon's part is found: as it is, and two others that were weighed.
@@ -49,7 +49,7 @@
 pub struct Knowing {
     pub servers: Servers,
     pub key: ServerKey,
-    pub budget: RepeatBudget,
+    pub budget: SharedRetryBudget,
     /// When it sent requests there lately, for [`Way::Counted`].
     pub sent: VecDeque<Instant>,
 }
@@ -129,9 +129,9 @@
         let now = self.fleet.now;
         while self.answers.front().is_some_and(|(at, ..)| *at <= now) {
             let (_, i, asked, names) = self.answers.pop_front().expect("there is one");
-            let word = names.map_or(LimitRemark::Free, LimitRemark::Rate);
+            let word = names.map_or(LimitRemark::Unlimited, LimitRemark::Rate);
             let known = &mut self.known[i];
-            known.servers.says_limit(known.key, word, asked, now);
+            known.servers.update_limit(known.key, word, asked, now);
         }
     }
 
@@ -151,7 +151,7 @@
             return;
         }
         let service = Play::service();
-        self.known[i].budget.request(&service, now);
+        self.known[i].budget.record_request(&service, now);
         self.asked += 1;
         if !self.may_send(i, now) {
             self.refused += 1;
@@ -196,20 +196,20 @@
         known.budget.set_others(others);
         let budget = &mut known.budget;
         let (part, cell_part) = match self.way {
-            Way::Equal => (1.0 / listed as f64, budget.near().count() as f64 / listed as f64),
+            Way::Equal => (1.0 / listed as f64, budget.cell_peers().count() as f64 / listed as f64),
             _ => {
                 let service = Play::service();
                 (budget.request_fraction(&service, now), budget.cell_fraction(&service, now))
             }
         };
         let rank = Rank { before: i, daemons: listed };
-        let near = budget.near();
+        let near = budget.cell_peers();
         let share = |server: Tag| {
-            let (daemons, place) = (near.count(), near.place(server));
-            let cell = CellShare { fraction: cell_part, daemons, place };
+            let (daemons, place) = (near.count(), near.rank(server));
+            let cell = CellShare { fraction: cell_part, daemons, position: place };
             Share { fraction: part, phase: rank.phase(server), cell }
         };
-        known.servers.settle_limits(SERVICE, share, now);
+        known.servers.update_quotas(SERVICE, share, now);
     }
 
     /// Asks daemons that hold room for some of it, those of the same cell first.
@@ -220,19 +220,19 @@
         const SHARING: usize = 64;
         let known = &mut self.known[i];
         let holders = known.limit().holders();
-        let all_hold = holders == known.budget.near().count();
+        let all_hold = holders == known.budget.cell_peers().count();
         let used_up = known.budget.rate(&Play::service(), now) > rate;
         if self.way == Way::Equal || (all_hold && used_up) {
             return false;
         }
         let tag = known.servers.get(known.key).expect("it is listed").tag();
         let node = &self.fleet.nodes[i];
-        let mut near = node.view.holders_near(tag, holders, now);
+        let mut near = node.view.quota_holders_in_cell(tag, holders, now);
         near.sort_unstable();
         near.shuffle(&mut self.fleet.rng);
         near.truncate(ASKED);
         if node.view.layout().divided && self.fleet.listed.len() <= SHARING {
-            let mut far = first_of_halls(&node.daemon, &self.fleet.listed, tag);
+            let mut far = first_in_each_hall(&node.daemon, &self.fleet.listed, tag);
             far.shuffle(&mut self.fleet.rng);
             near.extend(far.into_iter().take(ASKED_FAR));
         }
@@ -243,7 +243,7 @@
             let known = &mut self.known[lender];
             let tag = known.servers.get(known.key).expect("it is listed").tag();
             if let Some(server) = known.servers.lend(&[tag]) {
-                self.known[i].servers.borrowed(server);
+                self.known[i].servers.add_borrowed_quota(server);
                 return true;
             }
         }
@@ -258,7 +258,7 @@
         }
         let sent = known.sent.len() as u32;
         let mut spent = known.budget.spent(now);
-        let counted = Spent { requests: sent, repeats: 0 };
+        let counted = Spent { requests: sent, retries: 0 };
         spent.push((Tag::of("sent"), counted));
         let node = &mut self.fleet.nodes[i];
         node.own.stats = DaemonStats { spent, ..DaemonStats::default() };
--- a/tests/mirror/stand_ins.rs
+++ b/tests/mirror/stand_ins.rs
@@ -14,8 +14,8 @@
 use tidestair::gateway::mirror::Mirror;
 use tidestair::gateway::place::Headroom;
 use tidestair::gateway::port::{
-    CopyAnswer, Destination, Health, Lost, NotCopied, Reply, Report, Schema, Sending, Undecodable,
-    Wire,
+    BackendTransport, CopyAnswer, DecodeError, Destination, Health, NotCopied, Reply, Report,
+    Schema, SendError, SendOptions,
 };
 use tidestair::gateway::regions::Regions;
 use tidestair::gateway::request::Call;
@@ -29,16 +29,16 @@
 /// A wire that is never used.
 pub struct NoWire;
 
-impl Wire for NoWire {
+impl BackendTransport for NoWire {
     fn send<'a>(
         &'a self,
         _: &'a Call,
-        _: Sending,
+        _: SendOptions,
         proof: Option<NotSent>,
-    ) -> BoxFuture<'a, Result<Reply, Lost>> {
-        Box::pin(
-            async move { Err(Lost::Unsent { proof, refused: false, reason: "no wire".into() }) },
-        )
+    ) -> BoxFuture<'a, Result<Reply, SendError>> {
+        Box::pin(async move {
+            Err(SendError::Unsent { proof, refused: false, reason: "no wire".into() })
+        })
     }
 
     fn copy<'a>(
@@ -58,14 +58,14 @@
         _: &'a str,
         _: Duration,
     ) -> BoxFuture<'a, Result<Health, String>> {
-        Box::pin(async { Ok(Health { well: true, remarks: Remarks::default() }) })
+        Box::pin(async { Ok(Health { healthy: true, remarks: Remarks::default() }) })
     }
 
     fn report(&self, _: SocketAddr, _: Duration) -> BoxFuture<'_, Result<Report, String>> {
         Box::pin(async { Ok(Report::default()) })
     }
 
-    fn is_gone(&self, _: SocketAddr, _: Duration) -> BoxFuture<'_, bool> {
+    fn refuses_connections(&self, _: SocketAddr, _: Duration) -> BoxFuture<'_, bool> {
         Box::pin(async { false })
     }
 
@@ -112,37 +112,37 @@
         "rollouts/"
     }
 
-    fn rollout(&self, _: &str, value: &[u8]) -> Result<Order, Undecodable> {
+    fn rollout(&self, _: &str, value: &[u8]) -> Result<Order, DecodeError> {
         let version = String::from_utf8_lossy(value);
-        Ok(Order { version: version.into(), time: Duration::from_secs(10) })
+        Ok(Order { version: version.into(), time_limit: Duration::from_secs(10) })
     }
 
     fn rollout_status(&self, service: &str, _: &str, state: State) -> (String, Vec<u8>) {
         (format!("status/{service}"), state.name().into())
     }
 
-    fn table(&self, value: &[u8]) -> Result<Table, Undecodable> {
+    fn table(&self, value: &[u8]) -> Result<Table, DecodeError> {
         let text = String::from_utf8_lossy(value);
-        let version = text.parse().map_err(|_| Undecodable(text.into_owned()))?;
+        let version = text.parse().map_err(|_| DecodeError(text.into_owned()))?;
         let limits = Limits {
             header_bytes: 1,
             body_bytes: 1,
-            header_time: Duration::ZERO,
-            idle_time: Duration::ZERO,
+            header_timeout: Duration::ZERO,
+            idle_timeout: Duration::ZERO,
         };
         Ok(Table::new(version, limits, Vec::new(), Vec::new(), Vec::new()))
     }
 
-    fn server(&self, key: &str, value: &[u8]) -> Result<ServerRecord, Undecodable> {
+    fn server(&self, key: &str, value: &[u8]) -> Result<ServerRecord, DecodeError> {
         let text = String::from_utf8_lossy(value);
         if text.starts_with('?') {
-            return Err(Undecodable(text.into_owned()));
+            return Err(DecodeError(text.into_owned()));
         }
         let id = key.trim_start_matches("servers/");
         let start = text.split('.').next().and_then(|text| text.split_once('@'));
         Ok(ServerRecord {
             id: id.into(),
-            born: start.and_then(|(_, born)| born.parse().ok()),
+            started_ms: start.and_then(|(_, born)| born.parse().ok()),
             service: "app".into(),
             version: "v1".into(),
             addr: "127.0.0.1:9".parse().expect("an address"),
@@ -169,7 +169,7 @@
     /// Whether new work may go to a server.
     pub fn takes_work(&self, id: &str) -> bool {
         let servers = self.gateway.servers();
-        servers.find(id).and_then(|key| servers.get(key)).is_some_and(|server| server.open())
+        servers.find(id).and_then(|key| servers.get(key)).is_some_and(|server| server.is_open())
     }
 
     /// Whether new work may go to a server and its hall.
@@ -190,7 +190,10 @@
     /// The start of a server that is listed.
     pub fn born(&self, id: &str) -> Option<u64> {
         let servers = self.gateway.servers();
-        servers.find(id).and_then(|key| servers.get(key)).and_then(|server| server.record.born)
+        servers
+            .find(id)
+            .and_then(|key| servers.get(key))
+            .and_then(|server| server.record.started_ms)
     }
 
     /// Gives another node what it lacks, as of `age` ago; with `all`, large values too.
@@ -201,9 +204,9 @@
             to.mirror.apply(update, now - Duration::from_millis(age.into()), now);
             Some(complete)
         };
-        let complete = taken(self.mirror.update_after(to.mirror.position(), now));
+        let complete = taken(self.mirror.small_update_after(to.mirror.position(), now));
         if all && complete == Some(false) {
-            taken(self.mirror.all_after(to.mirror.position(), now));
+            taken(self.mirror.complete_update_after(to.mirror.position(), now));
         }
     }
 }
@@ -212,7 +215,7 @@
 pub fn node(now: Instant) -> Node {
     let budget = BudgetBounds { ratio: 0.2, slack: 1.0, window: Duration::from_secs(1) };
     let bounds = Bounds {
-        revoke: Some(Duration::from_secs(5)),
+        revocation_delay: Some(Duration::from_secs(5)),
         budget,
         cold: ColdBounds::default(),
         exposure: 0.1,
